--- a/masticweir/src/main/java/org/masticweir/relay/HedgedAsk.java
+++ b/masticweir/src/main/java/org/masticweir/relay/HedgedPeerRequest.java
@@ -21,9 +21,9 @@
  * would ever come in time. So a reply counts whenever it comes, a peer is not asked again before it
  * has replied, and another one is asked as well after a while.
  */
-final class HedgedAsk {
+final class HedgedPeerRequest {
     /** Time without a reply after which another peer is asked as well, in ms. */
-    static final long HEDGE_MS = 800;
+    static final long HEDGE_DELAY_MS = 800;
 
     /** Time after which a peer that is silent may be asked again, in ms. */
     static final long TIMEOUT_MS = 5_000;
@@ -37,7 +37,7 @@
     private final Set<RouterId> asked = new HashSet<>();
     private long lastAskMs;
 
-    HedgedAsk(PeerSender links, Executor control, Clock clock) {
+    HedgedPeerRequest(PeerSender links, Executor control, Clock clock) {
         this.links = checkNotNull(links, "links");
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
@@ -50,7 +50,7 @@
      */
     void ask(RouterId peer, PeerMessage question, Consumer<Optional<PeerMessage>> answered) {
         long now = clock.nowMs();
-        boolean waits = !asked.isEmpty() && now - lastAskMs < HEDGE_MS;
+        boolean waits = !asked.isEmpty() && now - lastAskMs < HEDGE_DELAY_MS;
         if (waits || asked.size() == MOST_ASKED || !asked.add(peer)) {
             return;
         }
--- a/masticweir/src/main/java/org/masticweir/relay/RequestsUnderWay.java
+++ b/masticweir/src/main/java/org/masticweir/relay/InFlightRequests.java
@@ -13,7 +13,7 @@
  * The requests of a router that are under way, and what a change of the quarantine means for them;
  * owned by the traffic thread.
  */
-final class RequestsUnderWay {
+final class InFlightRequests {
     private final SharedQuarantine quarantine;
     private final Set<Request> requests = new LinkedHashSet<>();
     private boolean ended;
@@ -32,7 +32,7 @@
         void routerEnds();
     }
 
-    RequestsUnderWay(SharedQuarantine quarantine) {
+    InFlightRequests(SharedQuarantine quarantine) {
         this.quarantine = checkNotNull(quarantine, "quarantine");
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** Ends all of them, and each one that comes later, with an answer of its own. */
-    void end() {
+    void endAll() {
         ended = true;
         ImmutableList.copyOf(requests).forEach(Request::routerEnds);
     }
@@ -57,13 +57,13 @@
      * Copies of a suspect content that run on speak for it. Copies of a quarantined one that have
      * just begun would end their servers too.
      */
-    void changed(ContentId content, Change change) {
+    void onQuarantineChange(ContentId content, Change change) {
         ImmutableList<Request> copies =
                 requests.stream()
                         .filter(r -> r.content().equals(content))
                         .collect(ImmutableList.toImmutableList());
         if (copies.stream().anyMatch(Request::runsWell)) {
-            quarantine.ranWell(() -> content);
+            quarantine.recordSuccess(() -> content);
         } else if (change == Change.QUARANTINED) {
             copies.forEach(Request::quarantined);
         }
--- a/masticweir/src/main/java/org/masticweir/relay/KeptConnections.java
+++ b/masticweir/src/main/java/org/masticweir/relay/KeepAliveConnections.java
@@ -15,8 +15,8 @@
  * callers go on using those that they have. A request that is refused there costs its caller a
  * retry; one that finds its connection closed goes to another router.
  */
-final class KeptConnections {
-    private static final Logger LOG = LogManager.getLogger(KeptConnections.class);
+final class KeepAliveConnections {
+    private static final Logger LOG = LogManager.getLogger(KeepAliveConnections.class);
 
     private final Set<ServerConnection> idle = new LinkedHashSet<>();
     private boolean closing;
--- a/masticweir/src/main/java/org/masticweir/relay/LimitExchange.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LimitExchange.java
@@ -8,9 +8,9 @@
 import org.masticweir.peer.LinkDirection;
 import org.masticweir.peer.LinkListener;
 import org.masticweir.peer.PeerLinks;
-import org.masticweir.permits.LimitNews;
-import org.masticweir.permits.PermitAsk;
-import org.masticweir.permits.PermitUse;
+import org.masticweir.permits.LimitUpdate;
+import org.masticweir.permits.PermitRequest;
+import org.masticweir.permits.RateUsageReport;
 import org.masticweir.permits.SharedLimits;
 import org.masticweir.permits.SharedPermits;
 
@@ -35,22 +35,24 @@
 
     /** Registers the handlers; call before the links start. */
     void start() {
-        links.on(LimitNews.class, (from, m, reply) -> traffic.execute(() -> limits.told(from, m)));
-        links.on(PermitAsk.class, permits::asked);
-        links.on(PermitUse.class, (from, m, reply) -> permits.used(m));
+        links.on(
+                LimitUpdate.class,
+                (from, m, reply) -> traffic.execute(() -> limits.handleUpdate(from, m)));
+        links.on(PermitRequest.class, permits::handleRequest);
+        links.on(RateUsageReport.class, (from, m, reply) -> permits.handleUsage(m));
         links.listen(this);
     }
 
     /** There is a router, linked or not. */
     void learn(RouterId router) {
-        permits.learn(router);
+        permits.addRouter(router);
     }
 
     @Override
     public void linkUp(Hello peer, LinkDirection direction) {
         if (direction == LinkDirection.OUTGOING) {
             permits.linkUp(peer.router());
-            traffic.execute(() -> limits.all().ifPresent(m -> links.send(peer.router(), m)));
+            traffic.execute(() -> limits.snapshot().ifPresent(m -> links.send(peer.router(), m)));
         }
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/LossInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LossInquiry.java
@@ -11,11 +11,11 @@
 import org.apache.logging.log4j.Logger;
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.Catalog;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.id.ContentId;
 import org.masticweir.quarantine.Loss;
 import org.masticweir.quarantine.SharedQuarantine;
-import org.masticweir.relay.ServerCheck.Fate;
+import org.masticweir.relay.ServerProbe.Fate;
 import org.masticweir.time.Clock;
 
 /**
@@ -34,9 +34,9 @@
     private static final int MOST_SILENT = 1_024;
 
     private final SharedQuarantine quarantine;
-    private final ServerCheck check;
+    private final ServerProbe check;
     private final Clock clock;
-    private final Map<ServerLife, SilentServer> silent = new HashMap<>();
+    private final Map<ServerIncarnation, SilentServer> silent = new HashMap<>();
 
     /** A server that fell silent, and the losses of the contents that it had begun to run. */
     private static final class SilentServer {
@@ -44,7 +44,7 @@
         private long untilMs;
     }
 
-    LossInquiry(SharedQuarantine quarantine, ServerCheck check, Clock clock) {
+    LossInquiry(SharedQuarantine quarantine, ServerProbe check, Clock clock) {
         this.quarantine = checkNotNull(quarantine, "quarantine");
         this.check = checkNotNull(check, "check");
         this.clock = checkNotNull(clock, "clock");
@@ -61,16 +61,16 @@
             long sentMs,
             boolean broke,
             Optional<Catalog> catalog) {
-        Loss loss = new Loss(server.life(), sentMs, clock.nowMs());
+        Loss loss = new Loss(server.incarnation(), sentMs, clock.nowMs());
         if (broke) {
             // The answer comes within milliseconds; a silent server would hold the request up.
-            quarantine.inquiryBegins(content);
+            quarantine.beginInquiry(content);
         }
         check.ask(server, catalog, fate -> found(content, loss, broke, fate));
     }
 
     private void found(ContentId content, Loss loss, boolean broke, Fate fate) {
-        ServerLife life = loss.life();
+        ServerIncarnation life = loss.incarnation();
         boolean hasEnded = fate == Fate.ENDED || (broke && fate == Fate.UNREACHED);
         LOG.info(
                 "quarantine: {} was lost under content {}, {}, {}",
@@ -79,19 +79,19 @@
                 broke ? "connection broken" : "silent",
                 fate);
         if (broke) {
-            quarantine.inquiryEnded(content);
+            quarantine.endInquiry(content);
         }
         if (hasEnded) {
-            quarantine.ended(content, loss, life + " ended under it");
+            quarantine.recordLoss(content, loss, life + " ended under it");
         } else if (fate == Fate.LIVES) {
-            quarantine.lives(life);
+            quarantine.recordAlive(life);
         } else {
             awaitLapse(content, loss);
         }
     }
 
     private void awaitLapse(ContentId content, Loss loss) {
-        ServerLife life = loss.life();
+        ServerIncarnation life = loss.incarnation();
         if (silent.size() < MOST_SILENT || silent.containsKey(life)) {
             SilentServer server = silent.computeIfAbsent(life, l -> new SilentServer());
             server.losses.put(content, loss);
@@ -100,18 +100,19 @@
     }
 
     /** The list of servers has changed; those that fell silent and are not in it have ended. */
-    void listed(Set<ServerLife> present) {
+    void updateListed(Set<ServerIncarnation> present) {
         long now = clock.nowMs();
-        Iterator<Map.Entry<ServerLife, SilentServer>> each = silent.entrySet().iterator();
+        Iterator<Map.Entry<ServerIncarnation, SilentServer>> each = silent.entrySet().iterator();
         while (each.hasNext()) {
-            Map.Entry<ServerLife, SilentServer> entry = each.next();
+            Map.Entry<ServerIncarnation, SilentServer> entry = each.next();
             SilentServer server = entry.getValue();
             if (now >= server.untilMs) {
                 each.remove();
             } else if (!present.contains(entry.getKey())) {
                 each.remove();
                 String cause = entry.getKey() + " lapsed under it";
-                server.losses.forEach((content, loss) -> quarantine.ended(content, loss, cause));
+                server.losses.forEach(
+                        (content, loss) -> quarantine.recordLoss(content, loss, cause));
             }
         }
     }
--- a/masticweir/src/main/java/org/masticweir/relay/PeerExchange.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PeerExchange.java
@@ -10,16 +10,16 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.concurrent.ControlThread;
 import org.masticweir.id.RouterId;
 import org.masticweir.peer.Hello;
 import org.masticweir.peer.LinkDirection;
 import org.masticweir.peer.LinkListener;
 import org.masticweir.peer.PeerLinks;
-import org.masticweir.quarantine.CrashNews;
+import org.masticweir.quarantine.CrashUpdate;
 import org.masticweir.quarantine.SharedQuarantine;
-import org.masticweir.relay.RelayMessages.CatalogAsk;
+import org.masticweir.relay.RelayMessages.CatalogRequest;
 import org.masticweir.relay.RelayMessages.EngineUse;
 import org.masticweir.relay.RelayMessages.FailureNews;
 import org.masticweir.relay.RelayMessages.Introduction;
@@ -63,7 +63,7 @@
     interface UseListener {
         void use(RouterId peer, List<EngineUse> uses);
 
-        void failure(ServerLife server, boolean gone);
+        void failure(ServerIncarnation server, boolean gone);
 
         void forget(RouterId peer);
 
@@ -105,11 +105,13 @@
         links.on(
                 FailureNews.class,
                 (from, m, reply) -> onControl(() -> uses.failure(m.server(), m.gone())));
-        links.on(CrashNews.class, (from, m, reply) -> quarantine.told(from, m));
+        links.on(CrashUpdate.class, (from, m, reply) -> quarantine.handleUpdate(from, m));
         links.on(Pulse.class, (from, m, reply) -> onControl(() -> sharing.pulse(from, m, reply)));
         links.on(ServerNews.class, (from, m, reply) -> onControl(() -> sharing.words(from, m)));
         links.on(ServersAsk.class, (from, m, reply) -> onControl(() -> sharing.answer(m, reply)));
-        links.on(CatalogAsk.class, (from, m, reply) -> onControl(() -> catalogs.offer(m, reply)));
+        links.on(
+                CatalogRequest.class,
+                (from, m, reply) -> onControl(() -> catalogs.offer(m, reply)));
         limits.start();
         links.listen(new Links());
         sharing.start();
@@ -160,7 +162,7 @@
                         links.send(peer.router(), new Introduction(self));
                         sharing.linkUp(peer.router());
                         uses.tellAll(peer.router());
-                        quarantine.all().ifPresent(m -> links.send(peer.router(), m));
+                        quarantine.snapshot().ifPresent(m -> links.send(peer.router(), m));
                     });
         }
 
@@ -175,7 +177,7 @@
                         reading.closed(peer);
                         if (direction == LinkDirection.INCOMING) {
                             uses.forget(peer);
-                            quarantine.forget(peer);
+                            quarantine.removeTrialsOf(peer);
                         }
                     });
         }
--- a/masticweir/src/main/java/org/masticweir/relay/PlatformPort.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PlatformPort.java
@@ -7,9 +7,9 @@
 
 /** What a router needs of the platform that it runs on; thread-safe. */
 public interface PlatformPort {
-    Dialect dialect();
+    PlatformProtocol protocol();
 
-    DeploymentForm deploymentForm();
+    DeploymentFormat deploymentFormat();
 
     /** Returns a client of the store at {@code address}, whose calls go through {@code calls}. */
     Store store(InetSocketAddress address, HttpCaller calls);
--- a/masticweir/src/main/java/org/masticweir/relay/Dialect.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PlatformProtocol.java
@@ -9,43 +9,43 @@
 import org.masticweir.id.PromptId;
 
 /** The header fields of one platform's requests and answers; stateless and thread-safe. */
-public interface Dialect {
+public interface PlatformProtocol {
     /**
      * Reads a caller's request.
      *
      * @throws IllegalArgumentException if a field is malformed
      */
-    CallerHead callerHead(HttpHeaders headers);
+    RequestMetadata parseRequestMetadata(HttpHeaders headers);
 
     /** Returns the fields of a request on its way to a server. */
-    HttpHeaders toServer(HttpHeaders fromCaller, SendHead send);
+    HttpHeaders headersToServer(HttpHeaders fromCaller, SendMetadata send);
 
     /** Reads a server's answer. */
-    ServerWord serverWord(HttpHead head);
+    AnswerMetadata parseAnswerMetadata(HttpHead head);
 
     /** Returns the fields of an answer on its way to the caller. */
-    HttpHeaders toCaller(HttpHeaders fromServer);
+    HttpHeaders headersToCaller(HttpHeaders fromServer);
 
     /**
      * Returns a call that a living engine answers at once, whatever its load, and that another life
      * at its address does not answer with success.
      */
-    HttpCall aliveCheck(BackendServer engine);
+    HttpCall engineProbeCall(BackendServer engine);
 
     /**
      * Returns a call to a plain server's {@code path} that no other life at its address accepts.
      */
-    HttpCall healthCheck(BackendServer server, String path);
+    HttpCall healthProbeCall(BackendServer server, String path);
 
     /** Returns whether an answer comes from another server than the one that was meant. */
-    boolean isOtherServers(int status);
+    boolean isWrongServerStatus(int status);
 
     /**
-     * Reads the answer to an {@link #aliveCheck}.
+     * Reads the answer to an {@link #engineProbeCall}.
      *
      * @throws IllegalArgumentException if it is malformed
      */
-    EngineReport engineReport(String body);
+    EngineReport parseEngineReport(String body);
 
     /** Returns a call that asks an engine which prompts it keeps in its memory. */
     HttpCall promptsCall(BackendServer engine);
@@ -55,7 +55,7 @@
      *
      * @throws IllegalArgumentException if it is malformed
      */
-    ImmutableSet<PromptId> prompts(String body);
+    ImmutableSet<PromptId> parsePrompts(String body);
 
     /** Returns the path at which the balancer asks whether this router takes connections. */
     String readyPath();
--- a/masticweir/src/main/java/org/masticweir/relay/KeptPrompts.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptCacheClient.java
@@ -9,7 +9,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.masticweir.catalog.BackendServer;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.http.HttpCaller;
 import org.masticweir.http.HttpOutcome;
 import org.masticweir.id.PromptId;
@@ -21,8 +21,8 @@
  * <p>Load that it answers: a router that has just started hears of a dozen streams at one moment,
  * and asks two dozen engines for each. One answer of an engine serves all that ask within a moment.
  */
-final class KeptPrompts {
-    private static final Logger LOG = LogManager.getLogger(KeptPrompts.class);
+final class PromptCacheClient {
+    private static final Logger LOG = LogManager.getLogger(PromptCacheClient.class);
 
     /**
      * Time for an answer, in ms, for a router whose code is still cold: a third of what reading a
@@ -34,15 +34,19 @@
     private static final long FRESH_MS = 300;
 
     private final HttpCaller calls;
-    private final Dialect dialect;
-    private final AnswerNotices notices;
+    private final PlatformProtocol dialect;
+    private final AnswerMetadataRecorder notices;
     private final Clock clock;
-    private final Map<ServerLife, Asked> asked = new HashMap<>();
+    private final Map<ServerIncarnation, Asked> asked = new HashMap<>();
 
     /** One question to an engine. */
     private record Asked(long atMs, CompletableFuture<ImmutableSet<PromptId>> answer) {}
 
-    KeptPrompts(HttpCaller calls, Dialect dialect, AnswerNotices notices, Clock clock) {
+    PromptCacheClient(
+            HttpCaller calls,
+            PlatformProtocol dialect,
+            AnswerMetadataRecorder notices,
+            Clock clock) {
         this.calls = checkNotNull(calls, "calls");
         this.dialect = checkNotNull(dialect, "dialect");
         this.notices = checkNotNull(notices, "notices");
@@ -53,14 +57,15 @@
     CompletableFuture<ImmutableSet<PromptId>> of(BackendServer engine) {
         long now = clock.nowMs();
         asked.values().removeIf(a -> now - a.atMs() > FRESH_MS);
-        return asked.computeIfAbsent(engine.life(), life -> new Asked(now, ask(engine))).answer();
+        return asked.computeIfAbsent(engine.incarnation(), life -> new Asked(now, ask(engine)))
+                .answer();
     }
 
     private CompletableFuture<ImmutableSet<PromptId>> ask(BackendServer engine) {
         return calls.call(dialect.promptsCall(engine), ANSWER_MS)
                 .thenApply(
                         outcome -> {
-                            notices.called(engine.life(), outcome);
+                            notices.called(engine.incarnation(), outcome);
                             return read(outcome);
                         });
     }
@@ -68,7 +73,7 @@
     private ImmutableSet<PromptId> read(HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answered && answered.answer().isSuccess()) {
             try {
-                return dialect.prompts(answered.answer().text());
+                return dialect.parsePrompts(answered.answer().text());
             } catch (IllegalArgumentException e) {
                 LOG.warn("relay: a list of prompts is not understood, {}", e.getMessage());
             }
--- a/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
@@ -27,7 +27,7 @@
     /** Tells {@code then}, once, which of {@code engines} keeps {@code prompt}; nothing if none. */
     static void among(
             ImmutableList<BackendServer> engines,
-            KeptPrompts kept,
+            PromptCacheClient kept,
             PromptId prompt,
             Consumer<Optional<BackendServer>> then) {
         PromptSearch search = new PromptSearch(prompt, engines.size(), then);
--- a/masticweir/src/main/java/org/masticweir/relay/RelayContext.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayContext.java
@@ -3,13 +3,13 @@
 import io.undertow.connector.ByteBufferPool;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
-import org.masticweir.forward.LoadBoard;
-import org.masticweir.forward.Placement;
-import org.masticweir.forward.RepeatGate;
+import org.masticweir.forward.LoadTracker;
+import org.masticweir.forward.RetryLimiter;
 import org.masticweir.forward.ServerHealth;
-import org.masticweir.forward.SilenceBounds;
-import org.masticweir.forward.StreamPace;
-import org.masticweir.forward.WaitingLine;
+import org.masticweir.forward.ServerSelector;
+import org.masticweir.forward.SilenceTimeouts;
+import org.masticweir.forward.StreamDurationEstimator;
+import org.masticweir.forward.WaitQueue;
 import org.masticweir.http.HttpCaller;
 import org.masticweir.permits.SharedLimits;
 import org.masticweir.quarantine.SharedQuarantine;
@@ -28,24 +28,24 @@
 record RelayContext(
         Clock clock,
         XnioIoThread thread,
-        Dialect dialect,
+        PlatformProtocol dialect,
         ByteBufferPool buffers,
         HttpCaller calls,
-        KeptPrompts prompts,
+        PromptCacheClient prompts,
         Supplier<RelayView> view,
-        LoadBoard loads,
+        LoadTracker loads,
         ServerHealth health,
-        Placement placement,
-        RepeatGate repeats,
-        SharedRepeats sharedRepeats,
+        ServerSelector placement,
+        RetryLimiter repeats,
+        SharedRetryPermits sharedRepeats,
         SharedLimits limits,
-        AnswerNotices notices,
+        AnswerMetadataRecorder notices,
         SharedQuarantine quarantine,
         LossInquiry losses,
-        RequestsUnderWay underWay,
-        WaitingLine line,
-        SilenceBounds silence,
-        StreamPace pace,
+        InFlightRequests underWay,
+        WaitQueue line,
+        SilenceTimeouts silence,
+        StreamDurationEstimator pace,
         RandomGenerator random,
         RelayMetrics metrics,
         long connectTimeoutMs,
--- a/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
@@ -18,7 +18,7 @@
 import org.masticweir.catalog.ServiceSpec;
 import org.masticweir.catalog.Team;
 import org.masticweir.error.ErrorCode;
-import org.masticweir.forward.RequestPlan;
+import org.masticweir.forward.RequestParameters;
 import org.masticweir.http.HttpHeaders;
 import org.masticweir.id.TeamId;
 
@@ -30,10 +30,10 @@
     private static final long UNSURE_RETURN_MS = 300;
 
     private final RelayContext context;
-    private final RelayIntake intake;
-    private final KeptConnections kept;
+    private final DrainingAdmission intake;
+    private final KeepAliveConnections kept;
 
-    RelayHandler(RelayContext context, RelayIntake intake, KeptConnections kept) {
+    RelayHandler(RelayContext context, DrainingAdmission intake, KeepAliveConnections kept) {
         this.context = checkNotNull(context, "context");
         this.intake = checkNotNull(intake, "intake");
         this.kept = checkNotNull(kept, "kept");
@@ -54,7 +54,7 @@
     /** What the head of a request leads to. */
     private record Admitted(
             HttpHeaders headers,
-            CallerHead caller,
+            RequestMetadata caller,
             Route route,
             Optional<TeamId> team,
             ServiceName service,
@@ -63,8 +63,8 @@
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        intake.begin();
-        ExchangeEnd.onEnd(exchange, kept, intake::end);
+        intake.requestStarted();
+        ExchangeEnd.onEnd(exchange, kept, intake::requestEnded);
         exchange.addResponseCommitListener(this::endConnectionIfLeaving);
         try {
             Admitted admitted = admit(exchange, context.view().get());
@@ -79,7 +79,7 @@
 
     /** With the answer, not with the request: the order to leave may come between them. */
     private void endConnectionIfLeaving(HttpServerExchange exchange) {
-        if (intake.isLeaving()) {
+        if (intake.isDraining()) {
             exchange.setPersistent(false);
         }
     }
@@ -96,10 +96,10 @@
         Route route =
                 catalog.route(host, exchange.getRequestURI())
                         .orElseThrow(() -> unknown(view, ErrorCode.NOT_FOUND, "no such route"));
-        CallerHead caller = callerHead(headers);
+        RequestMetadata caller = callerHead(headers);
         checkIntake(route, caller, now, false);
         Optional<Team> team = team(view, catalog, route, caller);
-        ServiceName service = route.service(caller.request().hashCode());
+        ServiceName service = route.service(caller.requestId().hashCode());
         Optional<EngineSpec> engine = catalog.service(service).flatMap(ServiceSpec::engine);
         exchange.setMaxEntitySize(catalog.limits().maxBodyBytes());
         if (exchange.getRequestContentLength() > catalog.limits().maxBodyBytes()) {
@@ -116,7 +116,7 @@
      *
      * @param whole whether the body has been read, too; it is asked before and after
      */
-    private void checkIntake(Route route, CallerHead caller, long receivedMs, boolean whole)
+    private void checkIntake(Route route, RequestMetadata caller, long receivedMs, boolean whole)
             throws Refusal {
         long now = context.clock().nowMs();
         OptionalLong needsMs =
@@ -125,16 +125,16 @@
                         : OptionalLong.of(receivedMs + waitMs(route, caller) - now);
         boolean taken =
                 route.streams()
-                        ? intake.takesStream(needsMs, now)
-                        : intake.takes(needsMs.getAsLong(), now);
-        if (intake.isLeaving() && (whole || !taken)) {
+                        ? intake.admitsStream(needsMs, now)
+                        : intake.admits(needsMs.getAsLong(), now);
+        if (intake.isDraining() && (whole || !taken)) {
             LOG.info(
                     "relay: request {} {} {} ms after the order to leave, it needs {} ms of {} ms",
-                    caller.request(),
+                    caller.requestId(),
                     taken ? "taken" : "not taken",
                     intake.leavingForMs(now),
                     needsMs.isPresent() ? needsMs.getAsLong() : "unknown",
-                    intake.leftMs(now));
+                    intake.remainingMs(now));
         }
         if (!taken) {
             throw new Refusal(ErrorCode.SHUTTING_DOWN, "this router is leaving");
@@ -142,8 +142,8 @@
     }
 
     /** Returns the time after which the request ends in any case. */
-    private static long waitMs(Route route, CallerHead caller) {
-        return Math.min(caller.waitMs().orElse(Long.MAX_VALUE), route.timeoutMs());
+    private static long waitMs(Route route, RequestMetadata caller) {
+        return Math.min(caller.timeoutMs().orElse(Long.MAX_VALUE), route.timeoutMs());
     }
 
     /**
@@ -166,20 +166,20 @@
                 : 0;
     }
 
-    private CallerHead callerHead(HttpHeaders headers) throws Refusal {
+    private RequestMetadata callerHead(HttpHeaders headers) throws Refusal {
         try {
-            return context.dialect().callerHead(headers);
+            return context.dialect().parseRequestMetadata(headers);
         } catch (IllegalArgumentException e) {
             throw new Refusal(ErrorCode.BAD_REQUEST, "malformed header field");
         }
     }
 
     private static Optional<Team> team(
-            RelayView view, Catalog catalog, Route route, CallerHead caller) throws Refusal {
+            RelayView view, Catalog catalog, Route route, RequestMetadata caller) throws Refusal {
         if (!catalog.hasTeams() || route.open()) {
             return Optional.empty();
         }
-        Optional<Team> team = caller.key().flatMap(catalog::teamOf);
+        Optional<Team> team = caller.teamKey().flatMap(catalog::teamOf);
         if (team.isEmpty()) {
             throw unknown(view, ErrorCode.UNAUTHORIZED, "no such key");
         }
@@ -193,7 +193,7 @@
      * catalog has. A caller doesn't come back after such an answer, but does after this one.
      */
     private static Refusal unknown(RelayView view, ErrorCode code, String reason) {
-        return view.sure()
+        return view.isCatalogFresh()
                 ? new Refusal(code, reason)
                 : new Refusal(ErrorCode.NO_CONFIGURATION, "the configuration may be old");
     }
@@ -208,7 +208,7 @@
                 (ex, e) -> {
                     LOG.info(
                             "relay: body of request {} could not be read, {}",
-                            admitted.caller().request(),
+                            admitted.caller().requestId(),
                             e.getMessage());
                     boolean tooLong = e instanceof Receiver.RequestToLargeException;
                     ex.setPersistent(false);
@@ -231,14 +231,14 @@
 
     private void start(HttpServerExchange exchange, Admitted admitted, byte[] body) {
         long waitMs = waitMs(admitted.route(), admitted.caller());
-        RequestPlan plan =
-                new RequestPlan(
+        RequestParameters plan =
+                new RequestParameters(
                         admitted.route(),
                         admitted.service(),
                         admitted.engine(),
                         admitted.caller().size(),
                         admitted.caller().prompt(),
-                        admitted.caller().afterEvent(),
+                        admitted.caller().lastEventId(),
                         admitted.receivedMs(),
                         admitted.receivedMs() + waitMs);
         RelayRequest request =
--- a/masticweir/src/main/java/org/masticweir/relay/RelayMessages.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayMessages.java
@@ -5,9 +5,9 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Optional;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.feed.StoreContact;
-import org.masticweir.forward.ServerUse;
+import org.masticweir.forward.ServerLoad;
 import org.masticweir.http.IpAddress;
 import org.masticweir.id.DomainId;
 import org.masticweir.id.EngineId;
@@ -16,11 +16,11 @@
 import org.masticweir.peer.FieldsCodec;
 import org.masticweir.peer.MessageCodec;
 import org.masticweir.peer.PeerMessage;
-import org.masticweir.permits.LimitNews;
-import org.masticweir.permits.PermitAsk;
+import org.masticweir.permits.LimitUpdate;
 import org.masticweir.permits.PermitReply;
-import org.masticweir.permits.PermitUse;
-import org.masticweir.quarantine.CrashNews;
+import org.masticweir.permits.PermitRequest;
+import org.masticweir.permits.RateUsageReport;
+import org.masticweir.quarantine.CrashUpdate;
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
@@ -69,23 +69,23 @@
      * @param newerThan the version that the sender holds
      * @param takesEdits whether the sender reads edits, which older routers do not
      */
-    record CatalogAsk(long newerThan, boolean takesEdits) implements PeerMessage {}
+    record CatalogRequest(long newerThan, boolean takesEdits) implements PeerMessage {}
 
     /**
      * The peer's catalog, if it is newer: whole, or as an edit of the text that the asking router
      * holds. An edit of no text fits any.
      */
-    record CatalogOffer(String text, Optional<PackedEdit> edit) implements PeerMessage {
-        static CatalogOffer nothing() {
+    record CatalogReply(String text, Optional<PackedEdit> edit) implements PeerMessage {
+        static CatalogReply nothing() {
             return whole("");
         }
 
-        static CatalogOffer whole(String text) {
-            return new CatalogOffer(text, Optional.empty());
+        static CatalogReply whole(String text) {
+            return new CatalogReply(text, Optional.empty());
         }
 
-        static CatalogOffer edit(PackedEdit edit) {
-            return new CatalogOffer("", Optional.of(edit));
+        static CatalogReply edit(PackedEdit edit) {
+            return new CatalogReply("", Optional.of(edit));
         }
 
         /** Returns its length on a link, in bytes, headers left out. */
@@ -127,19 +127,19 @@
     }
 
     /** What a router has at one engine. */
-    record EngineUse(ServerLife engine, ServerUse use) {}
+    record EngineUse(ServerIncarnation engine, ServerLoad use) {}
 
     /** A server failed at the sender, or is gone for good. */
-    record FailureNews(ServerLife server, boolean gone) implements PeerMessage {}
+    record FailureNews(ServerIncarnation server, boolean gone) implements PeerMessage {}
 
     static List<MessageCodec<?>> codecs() {
         return ImmutableList.<MessageCodec<?>>builder()
                 .addAll(ofRoutersAndUse())
                 .addAll(ofTheStore())
-                .add(LimitNews.codec(LIMIT_NEWS))
-                .add(PermitAsk.codec(PERMIT_ASK))
+                .add(LimitUpdate.codec(LIMIT_NEWS))
+                .add(PermitRequest.codec(PERMIT_ASK))
                 .add(PermitReply.codec(PERMIT_REPLY))
-                .add(PermitUse.codec(PERMIT_USE))
+                .add(RateUsageReport.codec(PERMIT_USE))
                 .build();
     }
 
@@ -158,18 +158,18 @@
                                         f.int64())),
                 FieldsCodec.of(
                         CATALOG_ASK,
-                        CatalogAsk.class,
+                        CatalogRequest.class,
                         2,
                         1,
                         (m, out) -> out.packLong(m.newerThan()).packBoolean(m.takesEdits()),
-                        f -> new CatalogAsk(f.int64(), f.hasMore() && f.bool())),
+                        f -> new CatalogRequest(f.int64(), f.hasMore() && f.bool())),
                 FieldsCodec.of(
                         CATALOG_OFFER,
-                        CatalogOffer.class,
+                        CatalogReply.class,
                         2,
                         1,
                         RelayMessages::encodeOffer,
-                        f -> new CatalogOffer(f.text(MAX_CATALOG_BYTES), edit(f))),
+                        f -> new CatalogReply(f.text(MAX_CATALOG_BYTES), edit(f))),
                 FieldsCodec.of(
                         SERVER_NEWS,
                         ServerNews.class,
@@ -209,7 +209,7 @@
                         3,
                         (m, out) -> encodeLife(m.server(), out).packBoolean(m.gone()),
                         f -> new FailureNews(life(f), f.bool())),
-                CrashNews.codec(CRASH_NEWS));
+                CrashUpdate.codec(CRASH_NEWS));
     }
 
     private static void encodeRouter(RouterAt router, MessagePacker out) throws IOException {
@@ -229,7 +229,7 @@
         out.packLong(pulse.newestWord()).packLong(pulse.completeTo());
     }
 
-    private static void encodeOffer(CatalogOffer offer, MessagePacker out) throws IOException {
+    private static void encodeOffer(CatalogReply offer, MessagePacker out) throws IOException {
         byte[] edit = offer.edit().map(PackedEdit::bytes).orElse(NO_BYTES);
         out.packString(offer.text()).packBinaryHeader(edit.length).writePayload(edit);
     }
@@ -239,12 +239,13 @@
         return edit.length == 0 ? Optional.empty() : Optional.of(PackedEdit.ofBytes(edit));
     }
 
-    private static MessagePacker encodeLife(ServerLife life, MessagePacker out) throws IOException {
+    private static MessagePacker encodeLife(ServerIncarnation life, MessagePacker out)
+            throws IOException {
         return out.packString(life.id().value()).packLong(life.startedMs());
     }
 
-    private static ServerLife life(Fields f) throws IOException {
-        return ServerLife.of(EngineId.of(f.text(MAX_ID_BYTES)), f.int64());
+    private static ServerIncarnation life(Fields f) throws IOException {
+        return ServerIncarnation.of(EngineId.of(f.text(MAX_ID_BYTES)), f.int64());
     }
 
     private static void encodeServers(ServerNews news, MessagePacker out) throws IOException {
@@ -258,17 +259,17 @@
     private static void encodeUses(UseNews news, MessagePacker out) throws IOException {
         out.packArrayHeader(news.uses().size());
         for (EngineUse engine : news.uses()) {
-            ServerUse use = engine.use();
+            ServerLoad use = engine.use();
             out.packArrayHeader(USE_FIELDS);
-            encodeLife(engine.engine(), out).packInt(use.running()).packInt(use.reading());
-            out.packLong(use.readingTokens()).packLong(use.memoryTokens());
+            encodeLife(engine.engine(), out).packInt(use.running()).packInt(use.prefills());
+            out.packLong(use.prefillTokens()).packLong(use.memoryTokens());
         }
     }
 
     private static EngineUse use(MessageUnpacker in) throws IOException {
         try (Fields f = Fields.open(in, USE_FIELDS)) {
             return new EngineUse(
-                    life(f), new ServerUse(f.int32(), f.int32(), f.int64(), f.int64()));
+                    life(f), new ServerLoad(f.int32(), f.int32(), f.int64(), f.int64()));
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
@@ -4,7 +4,7 @@
 
 import io.undertow.server.HttpServerExchange;
 import java.util.Optional;
-import org.masticweir.forward.RequestPlan;
+import org.masticweir.forward.RequestParameters;
 import org.masticweir.forward.Step;
 import org.masticweir.http.HttpCall;
 import org.masticweir.http.HttpHeaders;
@@ -17,8 +17,8 @@
  * @param body not copied, as it may be long and is only read
  */
 record RelayRequest(
-        RequestPlan plan,
-        CallerHead caller,
+        RequestParameters plan,
+        RequestMetadata caller,
         Optional<TeamId> team,
         String method,
         String path,
@@ -36,8 +36,8 @@
 
     static RelayRequest of(
             HttpServerExchange exchange,
-            RequestPlan plan,
-            CallerHead caller,
+            RequestParameters plan,
+            RequestMetadata caller,
             Optional<TeamId> team,
             HttpHeaders headers,
             byte[] body) {
@@ -49,14 +49,18 @@
 
     /** Returns the caller's id of the request. */
     String id() {
-        return caller.request();
+        return caller.requestId();
     }
 
     /** Returns the call that carries out {@code send}. */
-    HttpCall callFor(Step.Send send, Dialect dialect, long nowMs) {
+    HttpCall callFor(Step.Send send, PlatformProtocol dialect, long nowMs) {
         long leftMs = Math.max(1, plan.expiresMs() - nowMs);
-        SendHead head = new SendHead(caller.request(), send, team, leftMs);
+        SendMetadata head = new SendMetadata(caller.requestId(), send, team, leftMs);
         return new HttpCall(
-                method, send.server().address(), path, dialect.toServer(headers, head), body);
+                method,
+                send.server().address(),
+                path,
+                dialect.headersToServer(headers, head),
+                body);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
@@ -15,21 +15,21 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.masticweir.catalog.BackendServer;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.error.ErrorCode;
 import org.masticweir.error.MasticweirException;
 import org.masticweir.error.Verdict;
 import org.masticweir.feed.FeedPace;
 import org.masticweir.feed.ReadingShare;
 import org.masticweir.feed.TableFollower;
-import org.masticweir.forward.LoadBoard;
-import org.masticweir.forward.Placement;
+import org.masticweir.forward.LoadTracker;
 import org.masticweir.forward.ServerHealth;
 import org.masticweir.forward.ServerNotices;
-import org.masticweir.forward.ServiceRepeats;
-import org.masticweir.forward.SilenceBounds;
-import org.masticweir.forward.StreamPace;
-import org.masticweir.forward.WaitingLine;
+import org.masticweir.forward.ServerSelector;
+import org.masticweir.forward.ServiceRetryBudgets;
+import org.masticweir.forward.SilenceTimeouts;
+import org.masticweir.forward.StreamDurationEstimator;
+import org.masticweir.forward.WaitQueue;
 import org.masticweir.http.HttpCaller;
 import org.masticweir.http.HttpCallerLimits;
 import org.masticweir.logs.LogSetup;
@@ -42,7 +42,7 @@
 import org.masticweir.permits.SharedLimits;
 import org.masticweir.permits.SharedPermits;
 import org.masticweir.quarantine.Quarantine;
-import org.masticweir.quarantine.QuarantineRows;
+import org.masticweir.quarantine.QuarantineStore;
 import org.masticweir.quarantine.SharedQuarantine;
 import org.masticweir.relay.RelayMessages.RouterAt;
 import org.masticweir.time.Clock;
@@ -90,13 +90,13 @@
     private final XnioIoThread thread;
     private final HttpCaller calls;
     private final PlatformPort.Store store;
-    private final LoadBoard loads = LoadBoard.create();
+    private final LoadTracker loads = LoadTracker.create();
     private final ServerHealth health = ServerHealth.create();
     private final ServerNotices serverNotices = ServerNotices.create();
     private final MetricRegistry metrics = new MetricRegistry();
-    private final RelayIntake intake = new RelayIntake();
-    private final KeptConnections kept = new KeptConnections();
-    private final ServiceRepeats repeats;
+    private final DrainingAdmission intake = new DrainingAdmission();
+    private final KeepAliveConnections kept = new KeepAliveConnections();
+    private final ServiceRetryBudgets repeats;
     private final PeerLinks links;
     private final PeerDirectory directory;
     private final Deployment deployment;
@@ -105,14 +105,14 @@
     private final StoreSharing sharing;
     private final TableFollower catalogFollower;
     private final TableFollower serverFollower;
-    private final QuarantineRows quarantineRows;
+    private final QuarantineStore quarantineRows;
     private final SharedQuarantine quarantine;
     private final ServerLimits serverLimits = ServerLimits.create();
     private final SharedPermits permits;
     private final SharedLimits limits;
-    private final AnswerNotices notices;
+    private final AnswerMetadataRecorder notices;
     private final LossInquiry losses;
-    private final RequestsUnderWay underWay;
+    private final InFlightRequests underWay;
     private final PeerExchange peers;
     private final RelayShutdown shutdown;
     private final RelayPorts ports;
@@ -126,7 +126,7 @@
         this.settings = checkNotNull(settings, "settings");
         this.clock = checkNotNull(clock, "clock");
         this.platform = checkNotNull(platform, "platform");
-        repeats = ServiceRepeats.of(settings.retryShare(), settings.retryAllowance());
+        repeats = ServiceRetryBudgets.of(settings.retryShare(), settings.retryAllowance());
         worker = newWorker();
         thread = worker.getIoThread();
         calls = HttpCaller.create(worker, HttpCallerLimits.defaults());
@@ -144,14 +144,17 @@
         catalogFollower = catalogFollower();
         serverFollower = serverFollower();
         UseSharing uses = useSharing();
-        quarantineRows = new QuarantineRows(store, control, clock, settings.quarantineMs());
+        quarantineRows = new QuarantineStore(store, control, clock, settings.quarantineMs());
         quarantine = sharedQuarantine();
         permits = new SharedPermits(settings.router(), links, clock, thread, metrics);
         limits = sharedLimits();
-        notices = new AnswerNotices(serverNotices, limits, platform.dialect(), clock, metrics);
+        notices =
+                new AnswerMetadataRecorder(
+                        serverNotices, limits, platform.protocol(), clock, metrics);
         losses = lossInquiry();
-        underWay = new RequestsUnderWay(quarantine);
-        quarantine.onChange((c, change) -> thread.execute(() -> underWay.changed(c, change)));
+        underWay = new InFlightRequests(quarantine);
+        quarantine.onChange(
+                (c, change) -> thread.execute(() -> underWay.onQuarantineChange(c, change)));
         peers =
                 new PeerExchange(
                         links,
@@ -172,8 +175,8 @@
                         settings,
                         worker,
                         new RelayHandler(context(uses), intake, kept),
-                        platform.dialect().readyPath(),
-                        () -> deployment.isReady() && !intake.isLeaving(),
+                        platform.protocol().readyPath(),
+                        () -> deployment.isReady() && !intake.isDraining(),
                         metrics);
         callersPort =
                 new CallersPort(
@@ -208,7 +211,7 @@
         links.start();
         control.execute(() -> reading.follow(catalogFollower, serverFollower));
         directory.join(peers::learn);
-        quarantineRows.read(quarantine::recalled);
+        quarantineRows.load(quarantine::restore);
         control.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         delays.start();
         callersPort.openWhenReady();
@@ -217,7 +220,7 @@
 
     /** Without the records, what ended servers before the start would be sent to more of them. */
     private boolean knowsEnough() {
-        return deployment.isReady() && quarantineRows.isRead();
+        return deployment.isReady() && quarantineRows.isLoaded();
     }
 
     private void tick() {
@@ -228,7 +231,7 @@
 
     private Deployment newDeployment() {
         return new Deployment(
-                platform.deploymentForm(),
+                platform.deploymentFormat(),
                 clock,
                 new UnreadableRows(metrics.counter(MetricName.of("rows_unreadable_total"))),
                 this::publish);
@@ -236,7 +239,7 @@
 
     private TableFollower catalogFollower() {
         return new TableFollower(
-                platform.deploymentForm().catalogRow().table(),
+                platform.deploymentFormat().catalogRow().table(),
                 store,
                 CATALOG_PACE,
                 (rows, since, dueMs) -> {
@@ -251,7 +254,7 @@
 
     private TableFollower serverFollower() {
         return new TableFollower(
-                platform.deploymentForm().serverTable(),
+                platform.deploymentFormat().serverTable(),
                 store,
                 SERVER_PACE,
                 (rows, since, dueMs) ->
@@ -279,7 +282,7 @@
                 metrics,
                 control,
                 news -> directory.known().forEach(p -> links.send(p, news)),
-                quarantineRows::keep);
+                quarantineRows::save);
     }
 
     private SharedLimits sharedLimits() {
@@ -292,7 +295,7 @@
     }
 
     private LossInquiry lossInquiry() {
-        ServerCheck check = new ServerCheck(calls, platform.dialect(), limits, notices);
+        ServerProbe check = new ServerProbe(calls, platform.protocol(), limits, notices);
         return new LossInquiry(quarantine, check, clock);
     }
 
@@ -300,7 +303,7 @@
         return new RelayShutdown(
                 intake,
                 () -> thread.execute(kept::closeAll),
-                () -> thread.execute(underWay::end),
+                () -> thread.execute(underWay::endAll),
                 control,
                 clock,
                 settings.graceMs());
@@ -312,16 +315,16 @@
 
     private void publish(RelayView next) {
         view = next;
-        Set<ServerLife> present =
+        Set<ServerIncarnation> present =
                 next.servers().values().stream()
-                        .map(BackendServer::life)
+                        .map(BackendServer::incarnation)
                         .collect(Collectors.toUnmodifiableSet());
         thread.execute(
                 () -> {
-                    loads.retain(present);
-                    health.listed(present, clock.nowMs());
-                    serverNotices.listed(present, clock.nowMs());
-                    losses.listed(present);
+                    loads.retainServers(present);
+                    health.updateListed(present, clock.nowMs());
+                    serverNotices.updateListed(present, clock.nowMs());
+                    losses.updateListed(present);
                     limits.retain(present);
                 });
     }
@@ -331,25 +334,25 @@
         return new RelayContext(
                 clock,
                 thread,
-                platform.dialect(),
+                platform.protocol(),
                 new DefaultByteBufferPool(true, BUFFER_BYTES),
                 calls,
-                new KeptPrompts(calls, platform.dialect(), notices, clock),
+                new PromptCacheClient(calls, platform.protocol(), notices, clock),
                 () -> view,
                 loads,
                 health,
-                Placement.create(
+                ServerSelector.create(
                         loads, health, serverNotices, serverLimits, settings.domain(), random),
                 repeats,
-                new SharedRepeats(repeats, permits, clock),
+                new SharedRetryPermits(repeats, permits, clock),
                 limits,
                 notices,
                 quarantine,
                 losses,
                 underWay,
-                WaitingLine.create(),
-                SilenceBounds.create(),
-                StreamPace.create(),
+                WaitQueue.create(),
+                SilenceTimeouts.create(),
+                StreamDurationEstimator.create(),
                 random,
                 RelayMetrics.of(metrics, clock),
                 CONNECT_MS,
@@ -375,7 +378,7 @@
     }
 
     /** Adds {@code n} to a counter of the program around this router, on the same metrics page. */
-    public void count(String family, long n) {
+    public void incrementCounter(String family, long n) {
         metrics.counter(MetricName.of(family)).inc(n);
     }
 
@@ -388,7 +391,7 @@
      * Completes when callers are served. Connections made before that wait, but for the moment in
      * which the router takes over their port: they are refused then.
      */
-    public CompletableFuture<Void> serving() {
+    public CompletableFuture<Void> servingFuture() {
         return callersPort.opened();
     }
 
@@ -399,12 +402,12 @@
      * @param sinceMs when the order to leave came, by the router's clock: it may have waited for
      *     the start
      */
-    public CompletableFuture<Void> leave(long sinceMs) {
+    public CompletableFuture<Void> startShutdown(long sinceMs) {
         return shutdown.start(sinceMs);
     }
 
-    /** Completes as the future that {@link #leave} returns does; starts nothing. */
-    public CompletableFuture<Void> left() {
+    /** Completes as the future that {@link #startShutdown} returns does; starts nothing. */
+    public CompletableFuture<Void> shutdownFuture() {
         return shutdown.done();
     }
 
@@ -414,7 +417,7 @@
      */
     public void reload(RelaySettings changed) {
         LogSetup.level(Level.valueOf(changed.logLevel().name()));
-        thread.execute(() -> repeats.changeTo(changed.retryShare(), changed.retryAllowance()));
+        thread.execute(() -> repeats.update(changed.retryShare(), changed.retryAllowance()));
         LOG.info("router: settings reloaded, log level {}", changed.logLevel());
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRun.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRun.java
@@ -7,11 +7,11 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.masticweir.catalog.BackendServer;
-import org.masticweir.catalog.ServerLife;
-import org.masticweir.forward.Course;
-import org.masticweir.forward.LoadTicket;
-import org.masticweir.forward.RequestPlan;
-import org.masticweir.forward.SendSilence;
+import org.masticweir.catalog.ServerIncarnation;
+import org.masticweir.forward.LoadEntry;
+import org.masticweir.forward.RequestParameters;
+import org.masticweir.forward.RequestStateMachine;
+import org.masticweir.forward.SilenceTimer;
 import org.masticweir.forward.Step;
 import org.masticweir.http.HttpCall;
 import org.masticweir.http.HttpHead;
@@ -21,14 +21,14 @@
 /**
  * One request from its last byte to the last byte of its answer; runs on the traffic thread.
  *
- * <p>It carries out what its {@link Course} decides, and owns the request's timers, its connection
- * to a server and its entry on the load board.
+ * <p>It carries out what its {@link RequestStateMachine} decides, and owns the request's timers,
+ * its connection to a server and its entry on the load board.
  */
-final class RelayRun implements RequestsUnderWay.Request {
+final class RelayRun implements InFlightRequests.Request {
     private final RelayContext context;
-    private final RequestPlan plan;
+    private final RequestParameters plan;
     private final RelayRequest request;
-    private final Course course;
+    private final RequestStateMachine course;
     private final RequestLog log;
     private final RelayMetrics.ForRequest metrics;
     private final CallerAnswer answer;
@@ -39,8 +39,8 @@
     private final RequestPermits permits;
 
     private Optional<ServerSend> send = Optional.empty();
-    private Optional<LoadTicket> ticket = Optional.empty();
-    private SendSilence silence;
+    private Optional<LoadEntry> ticket = Optional.empty();
+    private SilenceTimer silence;
     private int sendNumber;
 
     /** Whether the send under way has left this process. */
@@ -62,7 +62,7 @@
         permits = new RequestPermits(context, log);
         metrics = context.metrics().request(plan.route().name(), request.team());
         course =
-                Course.of(
+                RequestStateMachine.of(
                         plan,
                         () -> context.view().get().serversOf(plan.service()),
                         context.placement(),
@@ -87,38 +87,38 @@
         if (over) {
             return;
         }
-        if (failure.isPresent() && !step.leadsToSend()) {
+        if (failure.isPresent() && !step.mayLeadToSend()) {
             failure.get().run();
         } else if (step instanceof Step.Send next) {
             failure = Optional.empty();
             send(next);
-        } else if (step instanceof Step.Ask ask) {
+        } else if (step instanceof Step.QueryPromptCaches ask) {
             search(ask);
-        } else if (step instanceof Step.Permit permit) {
+        } else if (step instanceof Step.AcquirePermit permit) {
             permits.toServer(
                     permit.server(), permit.urgency(), granted -> permitDecided(permit, granted));
-        } else if (step instanceof Step.Repeat repeat) {
+        } else if (step instanceof Step.AcquireRetryPermit repeat) {
             permits.toRepeat(plan.service(), repeat.urgency(), this::repeatDecided);
-        } else if (step instanceof Step.Hold hold) {
-            timer.set(hold.ms(), () -> take(course.next(now())));
+        } else if (step instanceof Step.Wait hold) {
+            timer.set(hold.delayMs(), () -> take(course.next(now())));
         } else {
             end((Step.End) step);
         }
     }
 
-    private void permitDecided(Step.Permit permit, boolean granted) {
+    private void permitDecided(Step.AcquirePermit permit, boolean granted) {
         if (!over) {
-            take(course.permitted(permit.server(), granted, now()));
+            take(course.onPermitDecision(permit.server(), granted, now()));
         }
     }
 
     private void repeatDecided(boolean granted) {
         if (!over) {
-            take(course.repeatDecided(granted, now()));
+            take(course.onRetryDecision(granted, now()));
         }
     }
 
-    private void search(Step.Ask ask) {
+    private void search(Step.QueryPromptCaches ask) {
         PromptSearch.among(
                 ask.engines(),
                 context.prompts(),
@@ -126,7 +126,7 @@
                 keeper -> {
                     if (!over) {
                         log.searched(ask.engines().size(), keeper);
-                        take(course.found(keeper, now()));
+                        take(course.onPromptCacheResult(keeper, now()));
                     }
                 });
     }
@@ -142,9 +142,9 @@
         int number = sendNumber;
         log.goes(next, number);
         context.metrics().sent(next.server(), sendNumber);
-        ticket = Optional.of(LoadTicket.open(context.loads(), next, plan.size()));
+        ticket = Optional.of(LoadEntry.open(context.loads(), next, plan.size()));
         context.loadsChanged().run();
-        silence = SendSilence.of(next, plan, context.loads(), context.silence(), now());
+        silence = SilenceTimer.of(next, plan, context.loads(), context.silence(), now());
         ServerSend opened =
                 ServerSend.open(
                         context.thread(),
@@ -190,7 +190,7 @@
     private void withdraw() {
         if (silence != null && !written) {
             written = true;
-            course.withdrawn(now());
+            course.onSendAborted(now());
         }
     }
 
@@ -198,9 +198,9 @@
     private void watchTime() {
         long dueMs = plan.expiresMs();
         if (plan.route().streams()) {
-            dueMs = Math.min(dueMs, silence.nextLookMs(now()));
-        } else if (course.slowAfterMs().isPresent()) {
-            dueMs = Math.min(dueMs, silence.sentMs() + course.slowAfterMs().getAsLong());
+            dueMs = Math.min(dueMs, silence.nextCheckMs(now()));
+        } else if (course.hedgeDelayMs().isPresent()) {
+            dueMs = Math.min(dueMs, silence.sentMs() + course.hedgeDelayMs().getAsLong());
         }
         timer.set(Math.max(1, dueMs - now()), this::timeIsUp);
     }
@@ -209,10 +209,10 @@
         long now = now();
         if (now >= plan.expiresMs()) {
             withdraw();
-            end(course.expired());
+            end(course.endAtDeadline());
             return;
         }
-        if (plan.route().streams() && silence.isTooLong(context.health(), now)) {
+        if (plan.route().streams() && silence.needsAction(context.health(), now)) {
             silenceIsTooLong(now);
             return;
         }
@@ -224,7 +224,7 @@
     }
 
     private void silenceIsTooLong(long now) {
-        SendSilence asked = silence;
+        SilenceTimer asked = silence;
         new SilenceInquiry(context, log, request.id(), asked)
                 .start(
                         now,
@@ -238,29 +238,29 @@
         trial.lost(server, silence.sentMs(), false, now());
         events.serverLost();
         leaveServer();
-        take(course.lost(server, now()));
+        take(course.onSendLost(server, now()));
         context.loadsChanged().run();
     }
 
     private void answerIsSlow(long now) {
         timer.set(Math.max(1, plan.expiresMs() - now), this::timeIsUp);
-        course.slow(now).ifPresent(this::goElsewhere);
+        course.onSlowAnswer(now).ifPresent(this::goElsewhere);
     }
 
     /** Leaves the send under way once there is leave to send the request again. */
     private void goElsewhere(Step step) {
-        SendSilence left = silence;
+        SilenceTimer left = silence;
         if (step instanceof Step.Send) {
             sendLost(left.server(), SendEnd.SILENT, "sent no answer", left.sentMs());
             leaveServer();
             take(step);
-        } else if (step instanceof Step.Repeat repeat) {
+        } else if (step instanceof Step.AcquireRetryPermit repeat) {
             permits.toRepeat(
                     plan.service(),
                     repeat.urgency(),
                     granted -> {
                         if (!over && silence == left) {
-                            goElsewhere(course.repeatDecided(granted, now()));
+                            goElsewhere(course.onRetryDecision(granted, now()));
                         }
                     });
         }
@@ -287,7 +287,7 @@
         if (!over && silence != null && trial.hasJustBegun(now())) {
             sendLost(silence.server(), SendEnd.STOPPED, "was left", silence.sentMs());
             withdraw();
-            end(course.quarantined(now()));
+            end(course.endInQuarantine(now()));
         }
     }
 
@@ -295,7 +295,7 @@
     public void routerEnds() {
         if (!over) {
             withdraw();
-            end(course.routerEnds());
+            end(course.endAtShutdown());
         }
     }
 
@@ -322,7 +322,7 @@
         if (over) {
             return;
         }
-        log.ended(end, course.sends());
+        log.ended(end, course.sendCount());
         metrics.failed(end.code());
         finish();
         answer.error(end.code(), end.retryAfterMs(), end.reason());
@@ -342,7 +342,7 @@
     /** Returns how far the request has come, in words. */
     private String stage() {
         if (send.isEmpty()) {
-            return "at no server after " + course.sends() + " sends";
+            return "at no server after " + course.sendCount() + " sends";
         }
         String events = trial.events() == 0 ? "without an event" : "after an event";
         return "at " + silence.server().id() + " in send " + sendNumber + ", " + events;
@@ -377,9 +377,9 @@
         }
 
         @Override
-        public void head(ServerWord word) {
+        public void head(AnswerMetadata word) {
             if (!isStale()) {
-                context.notices().heard(sent.server().life(), word, request.id(), sentMs);
+                context.notices().heard(sent.server().incarnation(), word, request.id(), sentMs);
             }
         }
 
@@ -389,10 +389,10 @@
                 return;
             }
             long now = now();
-            context.health().answered(sent.server().life(), now);
+            context.health().recordAnswer(sent.server().incarnation(), now);
             trial.event(now);
-            if (silence.heard(now)) {
-                ticket.ifPresent(LoadTicket::read);
+            if (silence.recordEvent(now)) {
+                ticket.ifPresent(LoadEntry::endPrefill);
                 context.loadsChanged().run();
             }
             events.event(sent.server(), head, bytes, id, now);
@@ -406,24 +406,24 @@
             metrics.answered(now() - plan.receivedMs());
             context.metrics().sendEnded(sent.server(), SendEnd.ANSWERED);
             trial.answered();
-            log.answered("last event " + RequestLog.text(course.lastEvent()), course.sends());
+            log.answered("last event " + RequestLog.text(course.lastEventId()), course.sendCount());
             events.ended(head, now());
             finish();
             answer.endEvents();
         }
 
         @Override
-        public void answered(HttpHead head, ServerWord word, byte[] bytes) {
+        public void answered(HttpHead head, AnswerMetadata word, byte[] bytes) {
             if (isStale()) {
                 return;
             }
-            context.health().answered(sent.server().life(), now());
+            context.health().recordAnswer(sent.server().incarnation(), now());
             loadOf(word);
             trial.answered();
             context.metrics().sendEnded(sent.server(), SendEnd.ANSWERED);
             leaveServer();
             Optional<Step> again =
-                    head.status() >= 500 ? course.failedAnswer(now()) : Optional.empty();
+                    head.status() >= 500 ? course.onErrorAnswer(now()) : Optional.empty();
             if (again.isPresent()) {
                 failure = Optional.of(() -> deliver(head, bytes));
                 take(again.get());
@@ -435,37 +435,39 @@
         private void deliver(HttpHead head, byte[] bytes) {
             failure = Optional.empty();
             if (answer.isStreaming()) {
-                take(course.lost(sent.server(), now()));
+                take(course.onSendLost(sent.server(), now()));
                 return;
             }
             metrics.answered(now() - plan.receivedMs());
-            log.answered("status " + head.status() + " of " + sent.server().id(), course.sends());
+            log.answered(
+                    "status " + head.status() + " of " + sent.server().id(), course.sendCount());
             finish();
             answer.whole(
-                    new HttpHead(head.status(), context.dialect().toCaller(head.headers())), bytes);
+                    new HttpHead(head.status(), context.dialect().headersToCaller(head.headers())),
+                    bytes);
         }
 
         @Override
-        public void refused(HttpHead head, ServerWord word) {
+        public void refused(HttpHead head, AnswerMetadata word) {
             if (isStale()) {
                 return;
             }
             leaveServer();
             String what = "refused with " + head.status();
-            if (word.wrongServer()) {
+            if (word.isWrongServer()) {
                 sendEnded(sent.server(), SendEnd.REFUSED, what, sentMs);
-                take(course.wrongServer(sent.server(), now()));
+                take(course.onWrongServer(sent.server(), now()));
                 context.loadsChanged().run();
                 return;
             }
             loadOf(word);
-            long lastMs = context.health().refused(sent.server().life(), now());
+            long lastMs = context.health().recordRefusal(sent.server().incarnation(), now());
             sendEnded(
                     sent.server(),
                     SendEnd.REFUSED,
                     what + " and is the last choice for " + lastMs + " ms,",
                     sentMs);
-            take(course.refused(now()));
+            take(course.onRefused(now()));
         }
 
         @Override
@@ -475,7 +477,7 @@
             }
             leaveServer();
             sendEnded(sent.server(), SendEnd.NOT_REACHED, "could not be reached", sentMs);
-            take(course.notSent(sent.server(), now()));
+            take(course.onConnectFailed(sent.server(), now()));
             context.loadsChanged().run();
         }
 
@@ -488,13 +490,13 @@
             leaveServer();
             sendLost(sent.server(), SendEnd.BROKE_OFF, "lost it, " + reason, sentMs);
             trial.lost(sent.server(), sentMs, true, now());
-            take(course.lost(sent.server(), now()));
+            take(course.onSendLost(sent.server(), now()));
             context.loadsChanged().run();
         }
 
-        private void loadOf(ServerWord word) {
-            ServerLife life = sent.server().life();
-            word.present().ifPresent(n -> context.loads().reported(life, n, now()));
+        private void loadOf(AnswerMetadata word) {
+            ServerIncarnation life = sent.server().incarnation();
+            word.requestCount().ifPresent(n -> context.loads().recordServerReport(life, n, now()));
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayShutdown.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayShutdown.java
@@ -34,7 +34,7 @@
 
     private static final long LOOK_EVERY_MS = 50;
 
-    private final RelayIntake intake;
+    private final DrainingAdmission intake;
     private final Runnable closeIdle;
     private final Runnable endRequests;
     private final ScheduledExecutorService control;
@@ -50,7 +50,7 @@
      * @param endRequests ends the requests that are under way, each with an answer
      */
     RelayShutdown(
-            RelayIntake intake,
+            DrainingAdmission intake,
             Runnable closeIdle,
             Runnable endRequests,
             ScheduledExecutorService control,
@@ -77,13 +77,15 @@
             LOG.info(
                     "router: leaving, told {} ms ago, {} requests under way",
                     now - sinceMs,
-                    intake.underWay());
+                    intake.inFlightCount());
             long endsMs = sinceMs + Math.max(0, graceMs - CLOSING_MS - ANSWERS_MS);
-            intake.leave(sinceMs, endsMs);
+            intake.startDraining(sinceMs, endsMs);
             at(Math.min(sinceMs + NOTICED_MS, endsMs), closeIdle);
             // Before the first look: a late thread must not close over requests without an answer.
             at(endsMs, this::endRequests);
-            at(Math.min(sinceMs + RelayIntake.BALANCER_MS, endsMs), () -> look(sinceMs));
+            at(
+                    Math.min(sinceMs + DrainingAdmission.BALANCER_DETECTION_MS, endsMs),
+                    () -> look(sinceMs));
         }
         return done;
     }
@@ -95,18 +97,18 @@
 
     private void endRequests() {
         if (!done.isDone()) {
-            LOG.info("router: the time to leave is over, {} requests left", intake.underWay());
+            LOG.info("router: the time to leave is over, {} requests left", intake.inFlightCount());
             intake.close();
             endRequests.run();
         }
     }
 
     private void look(long sinceMs) {
-        int left = intake.underWay();
+        int left = intake.inFlightCount();
         if (left == 0) {
             // Before the last look: what came in between is refused, not cut off.
             intake.close();
-            left = intake.underWay();
+            left = intake.inFlightCount();
         }
         long passedMs = clock.nowMs() - sinceMs;
         if (left == 0 || passedMs >= graceMs - CLOSING_MS) {
--- a/masticweir/src/main/java/org/masticweir/relay/RelayView.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayView.java
@@ -9,19 +9,19 @@
 import java.util.Optional;
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.Catalog;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.catalog.ServiceName;
 
 /**
  * What the traffic thread goes by; immutable, published by the control thread.
  *
  * @param catalog empty until one was read
- * @param sure whether the catalog is fresh enough to say that something does not exist
+ * @param isCatalogFresh whether the catalog is fresh enough to say that something does not exist
  */
 record RelayView(
         Optional<Catalog> catalog,
         ImmutableListMultimap<ServiceName, BackendServer> servers,
-        boolean sure) {
+        boolean isCatalogFresh) {
     private static final RelayView EMPTY =
             new RelayView(Optional.empty(), ImmutableListMultimap.of(), false);
 
@@ -39,8 +39,8 @@
     }
 
     /** Returns the server in that life; empty if it is gone or has started again. */
-    Optional<BackendServer> server(ServerLife life) {
-        return servers.values().stream().filter(s -> s.life().equals(life)).findAny();
+    Optional<BackendServer> server(ServerIncarnation life) {
+        return servers.values().stream().filter(s -> s.incarnation().equals(life)).findAny();
     }
 
     ImmutableList<BackendServer> serversOf(ServiceName service) {
--- a/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
@@ -10,7 +10,7 @@
 import org.masticweir.catalog.Catalog;
 import org.masticweir.catalog.ServiceName;
 import org.masticweir.forward.EngineReport;
-import org.masticweir.forward.ServerUse;
+import org.masticweir.forward.ServerLoad;
 import org.masticweir.forward.Step;
 import org.masticweir.id.ContentId;
 import org.masticweir.permits.PermitDecision;
@@ -34,7 +34,7 @@
 
     /** The request is sent, for the {@code number}-th time. */
     void goes(Step.Send send, int number) {
-        ServerUse use = context.loads().use(send.server().life());
+        ServerLoad use = context.loads().totalLoad(send.server().incarnation());
         LOG.info(
                 "relay: request {} goes to {} in {}, send {} after event {}, {}; {} running and {}"
                         + " reading there, copy at {}, config {}",
@@ -42,11 +42,11 @@
                 send.server().id(),
                 send.server().domain(),
                 number,
-                text(send.afterEvent()),
+                text(send.lastEventId()),
                 send.fromCopy() ? "from its copy" : "anew",
                 use.running(),
-                use.reading(),
-                send.holder().map(h -> h.id().value()).orElse("none"),
+                use.prefills(),
+                send.copyHolder().map(h -> h.id().value()).orElse("none"),
                 context.view().get().catalog().map(Catalog::version).orElse(0L));
     }
 
@@ -78,7 +78,7 @@
         LOG.info(
                 "relay: request {}: {} in {} {} after {} ms and {} events, content {}",
                 id,
-                server.life(),
+                server.incarnation(),
                 server.domain(),
                 what,
                 context.clock().nowMs() - sentMs,
@@ -97,7 +97,9 @@
     }
 
     private static String text(PermitDecision decision) {
-        return decision.granted() ? "granted" : "denied for the next " + decision.againMs() + " ms";
+        return decision.isGranted()
+                ? "granted"
+                : "denied for the next " + decision.retryAfterMs() + " ms";
     }
 
     /** An engine that has not begun the request in time reports, or does not. */
@@ -113,7 +115,7 @@
                 server.id(),
                 text(decision),
                 context.clock().nowMs() - askedMs,
-                context.limits().text(server.life()));
+                context.limits().describe(server.incarnation()));
     }
 
     /** A stream goes on after a pause. */
--- a/masticweir/src/main/java/org/masticweir/relay/RequestPermits.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestPermits.java
@@ -20,12 +20,12 @@
     void toServer(BackendServer server, int urgency, Consumer<Boolean> then) {
         long askedMs = context.clock().nowMs();
         context.limits()
-                .ask(
-                        server.life(),
+                .requestPermit(
+                        server.incarnation(),
                         urgency,
                         decision -> {
                             log.permit(server, decision, askedMs);
-                            then.accept(decision.granted());
+                            then.accept(decision.isGranted());
                         });
     }
 
@@ -38,7 +38,7 @@
                         urgency,
                         decision -> {
                             log.repeat(service, decision, askedMs);
-                            then.accept(decision.granted());
+                            then.accept(decision.isGranted());
                         });
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/SendListener.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SendListener.java
@@ -7,7 +7,7 @@
 /** Hears how one send to a server goes; the last call is one of the ends. */
 interface SendListener {
     /** The head of an answer to this request came, from the server that was meant. */
-    void head(ServerWord word);
+    void head(AnswerMetadata word);
 
     /** An event of a series came whole. */
     void event(HttpHead head, ByteBuffer bytes, OptionalLong id);
@@ -16,10 +16,10 @@
     void eventsEnded(HttpHead head);
 
     /** End: a whole answer. */
-    void answered(HttpHead head, ServerWord word, byte[] body);
+    void answered(HttpHead head, AnswerMetadata word, byte[] body);
 
     /** End: the server says that it did not run the request. */
-    void refused(HttpHead head, ServerWord word);
+    void refused(HttpHead head, AnswerMetadata word);
 
     /** End: nothing has left this process. */
     void notSent();
--- a/masticweir/src/main/java/org/masticweir/relay/SendHead.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SendMetadata.java
@@ -9,12 +9,13 @@
 /**
  * What the router says of a request to the server that gets it; immutable.
  *
- * @param request the caller's id of this attempt
- * @param leftMs time that is left for the answer
+ * @param requestId the caller's id of this attempt
+ * @param remainingMs time that is left for the answer
  */
-public record SendHead(String request, Step.Send send, Optional<TeamId> team, long leftMs) {
-    public SendHead {
-        checkNotNull(request, "request");
+public record SendMetadata(
+        String requestId, Step.Send send, Optional<TeamId> team, long remainingMs) {
+    public SendMetadata {
+        checkNotNull(requestId, "request");
         checkNotNull(send, "send");
         checkNotNull(team, "team");
     }
--- a/masticweir/src/main/java/org/masticweir/relay/ServerCheck.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerProbe.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.Catalog;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.catalog.ServiceSpec;
 import org.masticweir.http.HttpCall;
 import org.masticweir.http.HttpCaller;
@@ -25,7 +25,7 @@
  * server that lives answers the call made here at once. One call serves all who ask about a life
  * meanwhile.
  */
-final class ServerCheck {
+final class ServerProbe {
     /** Time for the answer, in ms: a way there and back and a busy server's turn. */
     private static final long ANSWER_MS = 300;
 
@@ -33,10 +33,10 @@
     private static final int MOST_CALLS = 2;
 
     private final HttpCaller calls;
-    private final Dialect dialect;
+    private final PlatformProtocol dialect;
     private final SharedLimits limits;
-    private final AnswerNotices notices;
-    private final Map<ServerLife, List<Consumer<Fate>>> asking = new HashMap<>();
+    private final AnswerMetadataRecorder notices;
+    private final Map<ServerIncarnation, List<Consumer<Fate>>> asking = new HashMap<>();
 
     /** What became of a server. */
     enum Fate {
@@ -48,7 +48,11 @@
         UNKNOWN
     }
 
-    ServerCheck(HttpCaller calls, Dialect dialect, SharedLimits limits, AnswerNotices notices) {
+    ServerProbe(
+            HttpCaller calls,
+            PlatformProtocol dialect,
+            SharedLimits limits,
+            AnswerMetadataRecorder notices) {
         this.calls = checkNotNull(calls, "calls");
         this.dialect = checkNotNull(dialect, "dialect");
         this.limits = checkNotNull(limits, "limits");
@@ -57,53 +61,53 @@
 
     /** Tells {@code then}, once, what became of {@code server}. */
     void ask(BackendServer server, Optional<Catalog> catalog, Consumer<Fate> then) {
-        List<Consumer<Fate>> others = asking.get(server.life());
+        List<Consumer<Fate>> others = asking.get(server.incarnation());
         if (others != null) {
             others.add(then);
             return;
         }
         Optional<ServiceSpec> spec = catalog.flatMap(c -> c.service(server.service()));
         Optional<HttpCall> call = spec.flatMap(s -> callTo(server, s));
-        if (call.isEmpty() || notices.isPausing(server.life())) {
+        if (call.isEmpty() || notices.isPausing(server.incarnation())) {
             then.accept(Fate.UNKNOWN);
             return;
         }
         List<Consumer<Fate>> asked = new ArrayList<>(List.of(then));
-        asking.put(server.life(), asked);
+        asking.put(server.incarnation(), asked);
         call(server, call.get(), spec.get().engine().isPresent(), 1);
     }
 
     private void call(BackendServer server, HttpCall call, boolean reports, int number) {
-        limits.probed(server.life());
+        limits.recordProbe(server.incarnation());
         CompletableFuture<HttpOutcome> answer = calls.call(call, ANSWER_MS);
         answer.thenAccept(
                 outcome -> {
-                    notices.called(server.life(), outcome);
+                    notices.called(server.incarnation(), outcome);
                     if (outcome instanceof HttpOutcome.MayHaveBeenSent && number < MOST_CALLS) {
                         call(server, call, reports, number + 1);
                     } else {
                         Fate fate = fate(server, reports, outcome);
-                        asking.remove(server.life()).forEach(then -> then.accept(fate));
+                        asking.remove(server.incarnation()).forEach(then -> then.accept(fate));
                     }
                 });
     }
 
     private Optional<HttpCall> callTo(BackendServer server, ServiceSpec spec) {
         if (spec.engine().isPresent()) {
-            return Optional.of(dialect.aliveCheck(server));
+            return Optional.of(dialect.engineProbeCall(server));
         }
         return spec.healthPath().isEmpty()
                 ? Optional.empty()
-                : Optional.of(dialect.healthCheck(server, spec.healthPath()));
+                : Optional.of(dialect.healthProbeCall(server, spec.healthPath()));
     }
 
     private Fate fate(BackendServer server, boolean reports, HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answered) {
-            boolean otherServer = dialect.isOtherServers(answered.answer().status());
+            boolean otherServer = dialect.isWrongServerStatus(answered.answer().status());
             boolean otherLife =
                     reports
                             && AliveCheck.report(dialect, outcome)
-                                    .filter(r -> !r.isOf(server.life()))
+                                    .filter(r -> !r.isFrom(server.incarnation()))
                                     .isPresent();
             return otherServer || otherLife ? Fate.ENDED : Fate.LIVES;
         }
--- a/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
@@ -32,16 +32,17 @@
 
     private final String request;
     private final boolean streams;
-    private final Dialect dialect;
+    private final PlatformProtocol dialect;
     private final SendListener listener;
     private final EventSplitter splitter = new EventSplitter();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Optional<HttpStream> http = Optional.empty();
     private HttpHead head;
-    private ServerWord word;
+    private AnswerMetadata word;
     private boolean over;
 
-    private ServerSend(String request, boolean streams, Dialect dialect, SendListener listener) {
+    private ServerSend(
+            String request, boolean streams, PlatformProtocol dialect, SendListener listener) {
         this.request = checkNotNull(request, "request");
         this.streams = streams;
         this.dialect = checkNotNull(dialect, "dialect");
@@ -63,7 +64,7 @@
             long connectTimeoutMs,
             String request,
             boolean streams,
-            Dialect dialect,
+            PlatformProtocol dialect,
             SendListener listener) {
         ServerSend send = new ServerSend(request, streams, dialect, listener);
         HttpStreamListener bytes = send.new Bytes();
@@ -103,16 +104,16 @@
                 return;
             }
             head = received;
-            word = dialect.serverWord(received);
-            if (word.notRun()) {
-                if (!word.wrongServer()) {
+            word = dialect.parseAnswerMetadata(received);
+            if (word.isNotRun()) {
+                if (!word.isWrongServer()) {
                     listener.head(word);
                 }
                 return;
             }
-            if (word.request().isPresent() && !word.request().get().equals(request)) {
+            if (word.requestId().isPresent() && !word.requestId().get().equals(request)) {
                 unusable("the answer is to another request");
-            } else if (received.isSuccess() && !word.signed()) {
+            } else if (received.isSuccess() && !word.isSigned()) {
                 unusable("the answer bears no signature");
             } else {
                 listener.head(word);
@@ -148,7 +149,7 @@
             if (over) {
                 return;
             }
-            if (word.notRun()) {
+            if (word.isNotRun()) {
                 over = true;
                 listener.refused(head, word);
             } else if (!isSeries()) {
--- a/masticweir/src/main/java/org/masticweir/relay/ServerWordNews.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerWordNews.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.Optional;
 import org.masticweir.catalog.BackendServer;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.catalog.ServiceName;
 import org.masticweir.http.IpAddress;
 import org.masticweir.id.DomainId;
@@ -42,7 +42,10 @@
             return "is gone";
         }
         BackendServer listed = server.get();
-        String since = listed.life().isStartKnown() ? ", started " + listed.life().startedMs() : "";
+        String since =
+                listed.incarnation().isStartKnown()
+                        ? ", started " + listed.incarnation().startedMs()
+                        : "";
         return (listed.leaving() ? "is leaving " : "serves ") + listed.service() + since;
     }
 
@@ -54,7 +57,9 @@
         out.packString(server.map(s -> s.domain().value()).orElse(""));
         out.packInt(server.map(BackendServer::slots).orElse(0));
         out.packBoolean(server.map(BackendServer::leaving).orElse(false));
-        out.packLong(server.map(s -> s.life().startedMs()).orElse(ServerLife.UNKNOWN_START));
+        out.packLong(
+                server.map(s -> s.incarnation().startedMs())
+                        .orElse(ServerIncarnation.UNKNOWN_START));
     }
 
     static ServerWordNews decode(MessageUnpacker in) throws IOException {
@@ -73,7 +78,7 @@
             }
             return present(
                     new BackendServer(
-                            ServerLife.of(id, startedMs),
+                            ServerIncarnation.of(id, startedMs),
                             ServiceName.of(service),
                             IpAddress.parse(address),
                             DomainId.of(domain),
--- a/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
@@ -6,7 +6,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.masticweir.forward.EngineReport;
-import org.masticweir.forward.SendSilence;
+import org.masticweir.forward.SilenceTimer;
 
 /**
  * Finds out whether a server that is silent for too long still has a request; on the traffic
@@ -16,9 +16,9 @@
     private final RelayContext context;
     private final RequestLog log;
     private final String request;
-    private final SendSilence silence;
+    private final SilenceTimer silence;
 
-    SilenceInquiry(RelayContext context, RequestLog log, String request, SendSilence silence) {
+    SilenceInquiry(RelayContext context, RequestLog log, String request, SilenceTimer silence) {
         this.context = checkNotNull(context, "context");
         this.log = checkNotNull(log, "log");
         this.request = checkNotNull(request, "request");
@@ -31,9 +31,9 @@
      * @param wanted whether an answer still matters; if not, it changes nothing
      */
     void start(long nowMs, BooleanSupplier wanted, Consumer<Optional<String>> then) {
-        if (silence.provesLoss()) {
+        if (silence.isLossCertain()) {
             then.accept(Optional.of("silent for " + silence.silentMs(nowMs) + " ms"));
-        } else if (context.notices().isPausing(silence.server().life())) {
+        } else if (context.notices().isPausing(silence.server().incarnation())) {
             then.accept(awaitPause(nowMs));
         } else {
             AliveCheck.ask(
@@ -53,7 +53,7 @@
         if (context.health().isDown(silence.server(), nowMs)) {
             return Optional.of("failed while it took no calls");
         }
-        silence.postpone(nowMs);
+        silence.restart(nowMs);
         return Optional.empty();
     }
 
@@ -61,15 +61,15 @@
         if (report.isEmpty()) {
             return Optional.of("no sign of life");
         }
-        if (!report.get().isOf(silence.server().life())) {
-            context.health().gone(silence.server());
+        if (!report.get().isFrom(silence.server().incarnation())) {
+            context.health().recordGone(silence.server());
             return Optional.of("has started again");
         }
         long now = context.clock().nowMs();
-        if (!silence.reported(report.get(), request, now)) {
+        if (!silence.recordReport(report.get(), request, now)) {
             return Optional.of("does not have the request any more");
         }
-        context.health().answered(silence.server().life(), now);
+        context.health().recordAnswer(silence.server().incarnation(), now);
         return Optional.empty();
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/UseSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/UseSharing.java
@@ -11,8 +11,8 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import org.masticweir.catalog.BackendServer;
-import org.masticweir.catalog.ServerLife;
-import org.masticweir.forward.LoadBoard;
+import org.masticweir.catalog.ServerIncarnation;
+import org.masticweir.forward.LoadTracker;
 import org.masticweir.forward.ServerHealth;
 import org.masticweir.id.RouterId;
 import org.masticweir.peer.PeerMessage;
@@ -34,9 +34,9 @@
     private static final long GATHER_MS = 5;
 
     private final XnioIoThread thread;
-    private final LoadBoard loads;
+    private final LoadTracker loads;
     private final ServerHealth health;
-    private final Function<ServerLife, Optional<BackendServer>> servers;
+    private final Function<ServerIncarnation, Optional<BackendServer>> servers;
     private final Clock clock;
     private final Supplier<? extends Iterable<RouterId>> peers;
     private final BiConsumer<RouterId, PeerMessage> send;
@@ -51,9 +51,9 @@
      */
     UseSharing(
             XnioIoThread thread,
-            LoadBoard loads,
+            LoadTracker loads,
             ServerHealth health,
-            Function<ServerLife, Optional<BackendServer>> servers,
+            Function<ServerIncarnation, Optional<BackendServer>> servers,
             Clock clock,
             Supplier<? extends Iterable<RouterId>> peers,
             BiConsumer<RouterId, PeerMessage> send) {
@@ -76,12 +76,12 @@
 
     private void tell() {
         gathering = false;
-        Set<ServerLife> changed = loads.takeChanged();
+        Set<ServerIncarnation> changed = loads.drainChanged();
         if (!changed.isEmpty()) {
             UseNews news = news(changed);
             peers.get().forEach(p -> send.accept(p, news));
         }
-        health.takeNews()
+        health.drainFailureReports()
                 .forEach(
                         (server, gone) -> {
                             FailureNews news = new FailureNews(server, gone);
@@ -90,16 +90,16 @@
     }
 
     @Override
-    public void failure(ServerLife server, boolean gone) {
+    public void failure(ServerIncarnation server, boolean gone) {
         thread.execute(
                 () ->
                         servers.apply(server)
-                                .ifPresent(s -> health.peerTold(s, gone, clock.nowMs())));
+                                .ifPresent(s -> health.recordPeerReport(s, gone, clock.nowMs())));
     }
 
     @Override
     public void use(RouterId peer, List<EngineUse> uses) {
-        thread.execute(() -> uses.forEach(u -> loads.peerUse(peer, u.engine(), u.use())));
+        thread.execute(() -> uses.forEach(u -> loads.recordPeerLoad(peer, u.engine(), u.use())));
     }
 
     @Override
@@ -111,17 +111,17 @@
     public void tellAll(RouterId peer) {
         thread.execute(
                 () -> {
-                    Set<ServerLife> used = loads.engines();
+                    Set<ServerIncarnation> used = loads.loadedEngines();
                     if (!used.isEmpty()) {
                         send.accept(peer, news(used));
                     }
                 });
     }
 
-    private UseNews news(Set<ServerLife> engines) {
+    private UseNews news(Set<ServerIncarnation> engines) {
         return new UseNews(
                 engines.stream()
-                        .map(e -> new EngineUse(e, loads.ownUse(e)))
+                        .map(e -> new EngineUse(e, loads.ownLoad(e)))
                         .collect(ImmutableList.toImmutableList()));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/retry/RetryBudget.java
+++ b/masticweir/src/main/java/org/masticweir/retry/RetryBudget.java
@@ -67,7 +67,7 @@
     }
 
     /** Counts the first send of a request. */
-    public synchronized void firstSent(WorkClassId workClass, TeamId team, long nowMs) {
+    public synchronized void recordFirstSend(WorkClassId workClass, TeamId team, long nowMs) {
         all.addFirst(nowMs);
         window(workClass, team).addFirst(nowMs);
     }
@@ -89,14 +89,14 @@
      * <p>Failure guarded against: a domain is cut off, its sends to all others fail to connect, and
      * the budget is spent on them when an engine at home could take the request.
      */
-    public synchronized void neverSent(
+    public synchronized void cancelRetry(
             WorkClassId workClass, TeamId team, long countedMs, long nowMs) {
         all.removeRetry(countedMs, nowMs);
         window(workClass, team).removeRetry(countedMs, nowMs);
     }
 
     /** Counts a send in the place of one that its engine lost before the first token. */
-    public synchronized void lostSent(WorkClassId workClass, TeamId team, long nowMs) {
+    public synchronized void recordRecoverySend(WorkClassId workClass, TeamId team, long nowMs) {
         all.addRetry(nowMs);
         window(workClass, team).addRetry(nowMs);
     }
--- a/masticweir/src/main/java/org/masticweir/retry/RetryDecision.java
+++ b/masticweir/src/main/java/org/masticweir/retry/RetryDecision.java
@@ -11,9 +11,9 @@
 /** What follows a failed attempt; immutable. */
 public sealed interface RetryDecision {
     /** The request is sent again; the budget has counted it. */
-    record SendAgain(long afterMs) implements RetryDecision {
-        public SendAgain {
-            checkArgument(afterMs >= 0, "send again after %s ms", afterMs);
+    record Retry(long delayMs) implements RetryDecision {
+        public Retry {
+            checkArgument(delayMs >= 0, "send again after %s ms", delayMs);
         }
     }
 
--- a/masticweir/src/main/java/org/masticweir/retry/RetryPolicy.java
+++ b/masticweir/src/main/java/org/masticweir/retry/RetryPolicy.java
@@ -9,7 +9,7 @@
 import org.masticweir.error.ErrorCode;
 import org.masticweir.error.Verdict;
 import org.masticweir.retry.RetryDecision.GiveUp;
-import org.masticweir.retry.RetryDecision.SendAgain;
+import org.masticweir.retry.RetryDecision.Retry;
 
 /**
  * Decides whether a failed attempt is sent again.
@@ -60,7 +60,7 @@
             return giveUp(failed.code(), failed);
         }
         return budget.tryRetry(failed.workClass(), failed.team(), nowMs)
-                ? new SendAgain(afterMs)
+                ? new Retry(afterMs)
                 : giveUp(failed.code(), failed);
     }
 
--- a/masticweir/src/main/java/org/masticweir/router/Router.java
+++ b/masticweir/src/main/java/org/masticweir/router/Router.java
@@ -13,7 +13,7 @@
 import org.masticweir.claims.ClaimPolicy;
 import org.masticweir.claims.ClaimService;
 import org.masticweir.claims.ClaimServiceSettings;
-import org.masticweir.claims.SharingLimits;
+import org.masticweir.claims.SharedWriteLimits;
 import org.masticweir.control.ControlSettings;
 import org.masticweir.control.DomainController;
 import org.masticweir.control.SweepSettings;
@@ -24,7 +24,7 @@
 import org.masticweir.http.HttpCaller;
 import org.masticweir.http.HttpCallerLimits;
 import org.masticweir.id.RouterId;
-import org.masticweir.limits.LimitTuning;
+import org.masticweir.limits.LimitSettings;
 import org.masticweir.membership.RouterAddress;
 import org.masticweir.metrics.MetricsPage;
 import org.masticweir.metrics.MetricsTuning;
@@ -217,7 +217,7 @@
                         () -> control.servingRouters().size(),
                         control.executor(),
                         control.traffic(),
-                        LimitTuning.of(settings.limits()),
+                        LimitSettings.of(settings.limits()),
                         settings.retries()),
                 ServingMetrics.of(
                         metrics,
@@ -269,12 +269,12 @@
                         clock,
                         new ClaimServiceSettings(
                                 ClaimPolicy.defaults(),
-                                BatchLimits.defaults().waiting(own.batchWaitMs()),
+                                BatchLimits.defaults().withWaitMs(own.batchWaitMs()),
                                 deadlineMs));
-        claims.shareOver(
+        claims.enableSharedWrites(
                 links,
                 control::servingHere,
-                SharingLimits.of(
+                SharedWriteLimits.of(
                         own.shareAbove(), own.writerWaitMs(), own.writerAvoidMs(), deadlineMs));
         return claims;
     }
--- a/masticweir/src/main/java/org/masticweir/router/ShareNews.java
+++ b/masticweir/src/main/java/org/masticweir/router/ShareNews.java
@@ -4,8 +4,8 @@
 
 import java.io.IOException;
 import org.masticweir.id.TeamId;
-import org.masticweir.limits.ShareDigest;
-import org.masticweir.limits.TeamUse;
+import org.masticweir.limits.TeamUsage;
+import org.masticweir.limits.TeamUsageDigest;
 import org.masticweir.peer.Fields;
 import org.masticweir.peer.FieldsCodec;
 import org.masticweir.peer.MessageCodec;
@@ -14,7 +14,7 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** Tells another router which teams use most here; one-way. */
-record ShareNews(ShareDigest digest) implements PeerMessage {
+record ShareNews(TeamUsageDigest digest) implements PeerMessage {
     private static final int FIELDS = 3;
     private static final int USE_FIELDS = 2;
     private static final int MAX_NAME_BYTES = 256;
@@ -27,8 +27,8 @@
                     (m, out) -> encode(m.digest, out),
                     f ->
                             new ShareNews(
-                                    new ShareDigest(
-                                            f.list(ShareDigest.MAX_TOP, ShareNews::use),
+                                    new TeamUsageDigest(
+                                            f.list(TeamUsageDigest.MAX_TOP, ShareNews::use),
                                             f.int64(),
                                             f.int32())));
 
@@ -36,18 +36,18 @@
         checkNotNull(digest, "digest");
     }
 
-    private static void encode(ShareDigest d, MessagePacker out) throws IOException {
+    private static void encode(TeamUsageDigest d, MessagePacker out) throws IOException {
         out.packArrayHeader(d.top().size());
-        for (TeamUse use : d.top()) {
+        for (TeamUsage use : d.top()) {
             out.packArrayHeader(USE_FIELDS).packString(use.team().value());
             out.packLong(Math.round(use.tokensPerS()));
         }
         out.packLong(Math.round(d.totalTokensPerS())).packInt(d.activeTeams());
     }
 
-    private static TeamUse use(MessageUnpacker in) throws IOException {
+    private static TeamUsage use(MessageUnpacker in) throws IOException {
         try (Fields f = Fields.open(in, USE_FIELDS)) {
-            return new TeamUse(TeamId.of(f.text(MAX_NAME_BYTES)), f.int64());
+            return new TeamUsage(TeamId.of(f.text(MAX_NAME_BYTES)), f.int64());
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/serving/AdmissionGate.java
+++ b/masticweir/src/main/java/org/masticweir/serving/AdmissionGate.java
@@ -7,25 +7,25 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import org.masticweir.id.RequestId;
-import org.masticweir.limits.Admission;
+import org.masticweir.limits.AdmissionController;
 import org.masticweir.limits.AdmissionDecision;
-import org.masticweir.limits.WorkRequest;
+import org.masticweir.limits.AdmissionRequest;
 import org.masticweir.time.Clock;
 
 /**
  * Lets new work wait for its admission without holding a thread; thread-safe.
  *
- * <p>Traffic threads ask the one {@link Admission} directly, under its short lock. A hand-over to
- * the control thread would add its delay to every first token, and stripes would each see only a
- * part of the queue, so fair shares and class order would not hold.
+ * <p>Traffic threads ask the one {@link AdmissionController} directly, under its short lock. A
+ * hand-over to the control thread would add its delay to every first token, and stripes would each
+ * see only a part of the queue, so fair shares and class order would not hold.
  */
 public final class AdmissionGate {
-    private final Admission admission;
+    private final AdmissionController admission;
     private final Clock clock;
     private final Runnable tickSoon;
     private final ConcurrentMap<RequestId, Waiting> waiting = new ConcurrentHashMap<>();
 
-    private AdmissionGate(Admission admission, Clock clock, Runnable tickSoon) {
+    private AdmissionGate(AdmissionController admission, Clock clock, Runnable tickSoon) {
         this.admission = checkNotNull(admission, "admission");
         this.clock = checkNotNull(clock, "clock");
         this.tickSoon = checkNotNull(tickSoon, "tickSoon");
@@ -36,7 +36,7 @@
      *
      * @param tickSoon has {@link #tick} called within a few milliseconds
      */
-    static AdmissionGate create(Admission admission, Clock clock, Runnable tickSoon) {
+    static AdmissionGate create(AdmissionController admission, Clock clock, Runnable tickSoon) {
         return new AdmissionGate(admission, clock, tickSoon);
     }
 
@@ -45,7 +45,7 @@
      *
      * <p>It is called at once where that can be decided, else later on {@code thread}.
      */
-    void offer(WorkRequest work, Executor thread, Consumer<AdmissionDecision> then) {
+    void offer(AdmissionRequest work, Executor thread, Consumer<AdmissionDecision> then) {
         // Put first: the control thread may decide before the offer has returned here.
         waiting.put(work.id(), new Waiting(thread, then));
         AdmissionDecision decision = admission.offer(work, clock.nowMs());
@@ -59,13 +59,13 @@
 
     /** Counts an admitted request as sent; the in-flight counts must hold it already. */
     void sent(RequestId id) {
-        admission.sent(id);
+        admission.recordSend(id);
     }
 
     /** Takes note that a request has ended, whether it waited or ran; may be called again. */
     void finished(RequestId id) {
         waiting.remove(checkNotNull(id, "id"));
-        admission.finished(id, clock.nowMs());
+        admission.recordEnd(id, clock.nowMs());
     }
 
     /** Decides on what waits. */
--- a/masticweir/src/main/java/org/masticweir/serving/AttemptWatch.java
+++ b/masticweir/src/main/java/org/masticweir/serving/AttemptWatch.java
@@ -129,7 +129,7 @@
 
     private void charge(long nowMs) {
         if (tokensNotCharged > 0) {
-            context.policy().shares().used(spec.team(), tokensNotCharged, nowMs);
+            context.policy().shares().recordUsage(spec.team(), tokensNotCharged, nowMs);
             tokensNotCharged = 0;
         }
     }
--- a/masticweir/src/main/java/org/masticweir/serving/ClaimedRun.java
+++ b/masticweir/src/main/java/org/masticweir/serving/ClaimedRun.java
@@ -65,14 +65,14 @@
     }
 
     private void onDecision(ClaimDecision decision) {
-        if (decision instanceof ClaimDecision.MayRun may) {
+        if (decision instanceof ClaimDecision.Granted may) {
             permit = may.permit();
             request.log().watch(settle);
             run.accept(permit::maySend);
-        } else if (decision instanceof ClaimDecision.JoinOrStored other) {
+        } else if (decision instanceof ClaimDecision.AlreadyClaimed other) {
             endAs(other.row());
         } else {
-            fail(((ClaimDecision.NotRun) decision).error());
+            fail(((ClaimDecision.Refused) decision).error());
         }
     }
 
@@ -85,14 +85,14 @@
         AnswerEnd end = view.end().orElseThrow();
         if (end instanceof AnswerEnd.Completed completed) {
             String kept = StoredAnswer.encode(completed.result(), view.tokens());
-            claims.ended(permit, Verdict.COMPLETED, kept);
+            claims.reportEnded(permit, Verdict.COMPLETED, kept);
             return;
         }
         Verdict verdict = ((AnswerEnd.Failed) end).error().verdict();
         if (verdict == Verdict.NOT_RUN) {
-            claims.notSent(permit);
+            claims.reportNotSent(permit);
         } else {
-            claims.ended(permit, verdict, "");
+            claims.reportEnded(permit, verdict, "");
         }
     }
 
--- a/masticweir/src/main/java/org/masticweir/serving/GenerationRunner.java
+++ b/masticweir/src/main/java/org/masticweir/serving/GenerationRunner.java
@@ -201,8 +201,8 @@
 
     private void decideRetry(RouteChoice.Chosen chosen) {
         RetryDecision decision = retry.decide(chosen, machine.verdict(), now());
-        if (decision instanceof RetryDecision.SendAgain again) {
-            wakeAt(now() + again.afterMs());
+        if (decision instanceof RetryDecision.Retry again) {
+            wakeAt(now() + again.delayMs());
         } else {
             feed(new RecoveryEvent.Detached());
             fail(((RetryDecision.GiveUp) decision).toException());
--- a/masticweir/src/main/java/org/masticweir/serving/NewWork.java
+++ b/masticweir/src/main/java/org/masticweir/serving/NewWork.java
@@ -10,7 +10,7 @@
 import org.masticweir.generation.AnswerEnd;
 import org.masticweir.generation.RequestSpec;
 import org.masticweir.limits.AdmissionDecision;
-import org.masticweir.limits.WorkRequest;
+import org.masticweir.limits.AdmissionRequest;
 import org.xnio.XnioIoThread;
 
 /**
@@ -50,10 +50,10 @@
         context.policy().admission().offer(workOf(workClass, model), thread, this::decide);
     }
 
-    private WorkRequest workOf(WorkClass workClass, Model model) {
+    private AdmissionRequest workOf(WorkClass workClass, Model model) {
         RequestSpec spec = request.spec();
         boolean service = model.kind() == BackEndKind.SERVICE;
-        return new WorkRequest(
+        return new AdmissionRequest(
                 spec.id(),
                 spec.team(),
                 workClass,
@@ -74,7 +74,7 @@
             fail(refused.toException());
         } else {
             RequestSpec spec = request.spec();
-            context.policy().shares().used(spec.team(), spec.prompt().length(), now());
+            context.policy().shares().recordUsage(spec.team(), spec.prompt().length(), now());
             run.run();
         }
     }
--- a/masticweir/src/main/java/org/masticweir/serving/RecoveryGate.java
+++ b/masticweir/src/main/java/org/masticweir/serving/RecoveryGate.java
@@ -7,25 +7,26 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import org.masticweir.id.GenerationId;
-import org.masticweir.limits.RecoveryAdmission;
+import org.masticweir.limits.RecoveryAdmissionController;
 import org.masticweir.limits.RecoveryDecision;
 import org.masticweir.limits.RecoveryRequest;
 import org.masticweir.time.Clock;
 
 /** Lets recoveries wait for their turn without holding a thread; thread-safe. */
 public final class RecoveryGate {
-    private final RecoveryAdmission admission;
+    private final RecoveryAdmissionController admission;
     private final Clock clock;
     private final Runnable tickSoon;
     private final ConcurrentMap<GenerationId, Waiting> waiting = new ConcurrentHashMap<>();
 
-    private RecoveryGate(RecoveryAdmission admission, Clock clock, Runnable tickSoon) {
+    private RecoveryGate(RecoveryAdmissionController admission, Clock clock, Runnable tickSoon) {
         this.admission = checkNotNull(admission, "admission");
         this.clock = checkNotNull(clock, "clock");
         this.tickSoon = checkNotNull(tickSoon, "tickSoon");
     }
 
-    static RecoveryGate create(RecoveryAdmission admission, Clock clock, Runnable tickSoon) {
+    static RecoveryGate create(
+            RecoveryAdmissionController admission, Clock clock, Runnable tickSoon) {
         return new RecoveryGate(admission, clock, tickSoon);
     }
 
@@ -48,13 +49,13 @@
 
     /** Takes note that a recovered generation has its first new token. */
     void resumed(GenerationId generation) {
-        admission.resumed(generation);
+        admission.recordResume(generation);
     }
 
     /** Takes note that a generation needs no recovery any more. */
     void ended(GenerationId generation) {
         waiting.remove(checkNotNull(generation, "generation"));
-        admission.ended(generation);
+        admission.recordEnd(generation);
     }
 
     /** Decides on what waits. */
--- a/masticweir/src/main/java/org/masticweir/serving/RetryTurn.java
+++ b/masticweir/src/main/java/org/masticweir/serving/RetryTurn.java
@@ -50,7 +50,7 @@
     /** Counts a send. */
     void sent(long nowMs) {
         if (sends == 0) {
-            budget.firstSent(workClass.id(), spec.team(), nowMs);
+            budget.recordFirstSend(workClass.id(), spec.team(), nowMs);
         }
         neverLeft = false;
         sends++;
@@ -59,7 +59,7 @@
     /** Counts a send in the place of one that was lost before its first token. */
     void resent(long nowMs) {
         if (!neverLeft) {
-            budget.lostSent(workClass.id(), spec.team(), nowMs);
+            budget.recordRecoverySend(workClass.id(), spec.team(), nowMs);
         }
         neverLeft = false;
         sends++;
--- a/masticweir/src/main/java/org/masticweir/serving/ServiceRunner.java
+++ b/masticweir/src/main/java/org/masticweir/serving/ServiceRunner.java
@@ -114,8 +114,8 @@
         }
         retry.failed(code, advisedRetryMs);
         RetryDecision decision = retry.decide(chosen, verdict, now());
-        if (decision instanceof RetryDecision.SendAgain again) {
-            thread.executeAfter(this::tryNext, again.afterMs(), TimeUnit.MILLISECONDS);
+        if (decision instanceof RetryDecision.Retry again) {
+            thread.executeAfter(this::tryNext, again.delayMs(), TimeUnit.MILLISECONDS);
         } else {
             fail(((RetryDecision.GiveUp) decision).toException());
         }
--- a/masticweir/src/main/java/org/masticweir/serving/ServingPolicy.java
+++ b/masticweir/src/main/java/org/masticweir/serving/ServingPolicy.java
@@ -11,10 +11,10 @@
 import org.masticweir.config.Team;
 import org.masticweir.id.RouterId;
 import org.masticweir.id.TeamId;
-import org.masticweir.limits.Admission;
+import org.masticweir.limits.AdmissionController;
 import org.masticweir.limits.CapacitySource;
-import org.masticweir.limits.LimitTuning;
-import org.masticweir.limits.RecoveryAdmission;
+import org.masticweir.limits.LimitSettings;
+import org.masticweir.limits.RecoveryAdmissionController;
 import org.masticweir.limits.SnapshotCapacity;
 import org.masticweir.limits.TeamShares;
 import org.masticweir.retry.RetryBudget;
@@ -60,20 +60,21 @@
             IntSupplier routers,
             ScheduledExecutorService control,
             EngineTraffic traffic,
-            LimitTuning limits,
+            LimitSettings limits,
             DaemonSettings.Retries retries) {
         TeamShares shares = TeamShares.create(self, team -> shareOf(view.get(), team));
         control.scheduleWithFixedDelay(
-                () -> shares.settle(clock.nowMs()),
+                () -> shares.updateWeights(clock.nowMs()),
                 SETTLE_EVERY_MS,
                 SETTLE_EVERY_MS,
                 TimeUnit.MILLISECONDS);
         CapacitySource capacity =
                 SnapshotCapacity.create(() -> view.get().routing(), inFlight, routers, limits);
-        RecoveryAdmission recoveries = RecoveryAdmission.create(capacity, limits);
-        Admission admission =
-                Admission.create(
-                        capacity, shares, recoveries::waiting, new SplittableRandom(), limits);
+        RecoveryAdmissionController recoveries =
+                RecoveryAdmissionController.create(capacity, limits);
+        AdmissionController admission =
+                AdmissionController.create(
+                        capacity, shares, recoveries::waitingCount, new SplittableRandom(), limits);
         Gates gates = new Gates(admission, recoveries, clock, control);
         RetryBudget budget =
                 RetryBudget.create(retries.budgetPercent() / PERCENT, retries.budgetFloor());
@@ -97,8 +98,8 @@
         private final GateTicker ticker;
 
         Gates(
-                Admission admission,
-                RecoveryAdmission recoveries,
+                AdmissionController admission,
+                RecoveryAdmissionController recoveries,
                 Clock clock,
                 ScheduledExecutorService control) {
             ticker = new GateTicker(control, this::tick, this::anyWaiting);
--- a/masticweir/src/test/java/org/masticweir/catalog/ServerBookTest.java
+++ b/masticweir/src/test/java/org/masticweir/catalog/ServerBookTest.java
@@ -18,12 +18,12 @@
     private final ServerBook book = ServerBook.create();
 
     private static BackendServer server(boolean leaving) {
-        return server(ServerLife.UNKNOWN_START, leaving);
+        return server(ServerIncarnation.UNKNOWN_START, leaving);
     }
 
     private static BackendServer server(long startedMs, boolean leaving) {
         return new BackendServer(
-                ServerLife.of(ID, startedMs),
+                ServerIncarnation.of(ID, startedMs),
                 ServiceName.of("s"),
                 new InetSocketAddress("127.0.0.1", 1),
                 DomainId.of("a"),
@@ -92,7 +92,7 @@
     @Nested
     class LivesOfOneId {
         private long started() {
-            return book.servers().get(0).life().startedMs();
+            return book.servers().get(0).incarnation().startedMs();
         }
 
         @Test
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimDomain.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimDomain.java
@@ -59,7 +59,7 @@
         for (int i = 1; i <= n; i++) {
             RouterId id = RouterId.of("r" + i);
             serving.add(id);
-            routers.put(id, new Router(id, SharingLimits.of(shareAbove, 150, 2_000, 500)));
+            routers.put(id, new Router(id, SharedWriteLimits.of(shareAbove, 150, 2_000, 500)));
         }
     }
 
@@ -71,7 +71,7 @@
         private Fault fault = Fault.NONE;
         private int offersTaken;
 
-        private Router(RouterId id, SharingLimits limits) {
+        private Router(RouterId id, SharedWriteLimits limits) {
             this.id = id;
             claims =
                     ClaimService.create(
@@ -223,8 +223,8 @@
     /** Returns what refused callers were told. */
     List<MasticweirException> refusals() {
         return decisions.stream()
-                .filter(ClaimDecision.NotRun.class::isInstance)
-                .map(d -> ((ClaimDecision.NotRun) d).error())
+                .filter(ClaimDecision.Refused.class::isInstance)
+                .map(d -> ((ClaimDecision.Refused) d).error())
                 .toList();
     }
 
@@ -248,10 +248,10 @@
     private void decided(Router router, ClaimDecision d, long startMs, long runMs) {
         waits.add(now() - startMs);
         decisions.add(d);
-        if (d instanceof ClaimDecision.MayRun may) {
+        if (d instanceof ClaimDecision.Granted may) {
             scheduler.at(
                     now() + runMs,
-                    () -> router.claims.ended(may.permit(), Verdict.COMPLETED, "answer"));
+                    () -> router.claims.reportEnded(may.permit(), Verdict.COMPLETED, "answer"));
         }
     }
 
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
@@ -87,9 +87,10 @@
     void claimThatIsAloneRuns() {
         ClaimPolicy policy = ClaimPolicy.defaults();
         ClaimRow row = ClaimRow.claimed("n", RouterId.of("a"), 0);
-        ClaimState state = ClaimState.of(RowKey.of("claims", "k"), row, policy, 0, 50);
+        ClaimStateMachine state =
+                ClaimStateMachine.of(RowKey.of("claims", "k"), row, policy, 0, 50);
         state.start(0);
         assertEquals(
-                List.of(new ClaimAction.MayRun(50)), state.on(new ClaimEvent.Committed(1, 9), 1));
+                List.of(new ClaimAction.Grant(50)), state.on(new ClaimEvent.Committed(1, 9), 1));
     }
 }
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimServiceTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimServiceTest.java
@@ -48,7 +48,7 @@
     }
 
     private ClaimPermit permitted(ClaimDecision decision) {
-        return assertInstanceOf(ClaimDecision.MayRun.class, decision).permit();
+        return assertInstanceOf(ClaimDecision.Granted.class, decision).permit();
     }
 
     /** The table answers. */
@@ -68,7 +68,7 @@
         void secondSubmissionIsToldTheOwner() {
             permitted(claim(first, LETTER).join());
             ClaimDecision other = claim(second, LETTER).join();
-            ClaimRow row = assertInstanceOf(ClaimDecision.JoinOrStored.class, other).row();
+            ClaimRow row = assertInstanceOf(ClaimDecision.AlreadyClaimed.class, other).row();
             assertEquals(RouterId.of("a"), row.owner());
             assertEquals(Verdict.MAY_HAVE_RUN, row.verdict());
         }
@@ -83,7 +83,7 @@
             }
             CompletableFuture<ClaimDecision> hit = claim(first, LETTER);
             claims.forEach(c -> permitted(c.join()));
-            assertInstanceOf(ClaimDecision.JoinOrStored.class, hit.join());
+            assertInstanceOf(ClaimDecision.AlreadyClaimed.class, hit.join());
         }
 
         @Test
@@ -93,7 +93,7 @@
             permitted(claim(first, LETTER).join());
             Row row = table.row(ClaimRow.keyOf(TEAM, LETTER));
             long madeMs = ClaimRow.decode(row.value()).wallMs();
-            ClaimSweep sweep = ClaimSweep.keeping(retentionMs, 10, policy);
+            ClaimSweep sweep = ClaimSweep.withRetention(retentionMs, 10, policy);
             assertTrue(sweep.onPage(List.of(row), madeMs + retentionMs).isEmpty());
             Transaction t = sweep.onPage(List.of(row), madeMs + retentionMs + 1).orElseThrow();
             table.apply(t);
@@ -109,7 +109,7 @@
         void lostAnswerIsSettledByTheNonce() {
             table.loseAnswers(1);
             permitted(claim(first, LETTER).join());
-            assertInstanceOf(ClaimDecision.JoinOrStored.class, claim(second, LETTER).join());
+            assertInstanceOf(ClaimDecision.AlreadyClaimed.class, claim(second, LETTER).join());
         }
 
         /** The table is out: the caller is refused at once and told when to come back. */
@@ -118,7 +118,7 @@
             table.setOut(true);
             long startMs = clock.nowMs();
             ClaimDecision decision = claim(first, LETTER).join();
-            var error = assertInstanceOf(ClaimDecision.NotRun.class, decision).error();
+            var error = assertInstanceOf(ClaimDecision.Refused.class, decision).error();
             assertEquals(Verdict.NOT_RUN, error.verdict());
             assertTrue(error.retryAfterMs().isPresent());
             assertTrue(clock.nowMs() - startMs < PATIENCE_MS / 2, "waited for the deadline");
@@ -132,10 +132,10 @@
         void claimGivenUpIsReleasedForTheNextSubmission() {
             table.loseAnswers(ClaimPolicy.defaults().maxTries());
             ClaimDecision refused = claim(first, LETTER).join();
-            var error = assertInstanceOf(ClaimDecision.NotRun.class, refused).error();
+            var error = assertInstanceOf(ClaimDecision.Refused.class, refused).error();
             assertTrue(error.retryAfterMs().isPresent(), "told when to come back");
             ClaimDecision next = claim(second, LETTER).join();
-            while (next instanceof ClaimDecision.JoinOrStored) {
+            while (next instanceof ClaimDecision.AlreadyClaimed) {
                 next = claim(second, LETTER).join();
             }
             permitted(next);
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimSharingTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimSharingTest.java
@@ -56,7 +56,7 @@
                     perSecond,
                     domain.waitMs(0.5),
                     domain.waitMs(0.99));
-            assertEquals(domain.decisions().size(), domain.count(ClaimDecision.MayRun.class));
+            assertEquals(domain.decisions().size(), domain.count(ClaimDecision.Granted.class));
             domain.runTo(domain.now() + SETTLED_MS);
             assertEquals(0, domain.rows(ClaimStatus.CLAIMED), "ends stored");
             return perSecond;
@@ -127,7 +127,7 @@
                     "claims: writer %s: %d of %d served, longest wait %d p99 %d ms, %.1f"
                             + " transactions/s%n",
                     fault,
-                    domain.count(ClaimDecision.MayRun.class),
+                    domain.count(ClaimDecision.Granted.class),
                     domain.decisions().size(),
                     domain.waitMs(1),
                     domain.waitMs(0.99),
@@ -178,7 +178,7 @@
             double perSecond = domain.transactions() * 1_000.0 / FAULT_MS;
             System.out.printf(
                     "claims: table slow: %d of %d served, p50 %d p99 %d ms, %.1f transactions/s%n",
-                    domain.count(ClaimDecision.MayRun.class),
+                    domain.count(ClaimDecision.Granted.class),
                     domain.decisions().size(),
                     domain.waitMs(0.5),
                     domain.waitMs(0.99),
@@ -195,7 +195,7 @@
             System.out.printf(
                     "claims: 4000 claims/s: %d served, %d refused, longest wait %d p99 %d ms, %.1f"
                             + " transactions/s%n",
-                    domain.count(ClaimDecision.MayRun.class),
+                    domain.count(ClaimDecision.Granted.class),
                     domain.refusals().size(),
                     domain.waitMs(1),
                     domain.waitMs(0.99),
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
@@ -36,18 +36,18 @@
 
     private static final long DEADLINE_MS = 400;
     private static final BatchLimits LIMITS = new BatchLimits(3, 2, 5, 6, 50, 2, 1_000, 3, 40);
-    private static final SharingLimits SHARING = new SharingLimits(1, 15, 40, 30);
+    private static final SharedWriteLimits SHARING = new SharedWriteLimits(1, 15, 40, 30);
     private static final ClaimPolicy POLICY = new ClaimPolicy(3, 300, 10, 300, 50);
 
     /** One submission and what its caller was told. */
     private static final class Submission {
         private final RowKey key;
         private final String nonce;
-        private final ClaimState state;
+        private final ClaimStateMachine state;
         private long sendBeforeMs = Long.MIN_VALUE;
         private Verdict told;
 
-        private Submission(RowKey key, String nonce, ClaimState state) {
+        private Submission(RowKey key, String nonce, ClaimStateMachine state) {
             this.key = key;
             this.nonce = nonce;
             this.state = state;
@@ -290,7 +290,8 @@
         RowKey key = ClaimRow.keyOf(TeamId.of("t"), request);
         long id = ++ids;
         ClaimRow row = ClaimRow.claimed("n" + id, RouterId.of("router"), nowMs);
-        ClaimState state = ClaimState.of(key, row, POLICY, nowMs, nowMs + DEADLINE_MS);
+        ClaimStateMachine state =
+                ClaimStateMachine.of(key, row, POLICY, nowMs, nowMs + DEADLINE_MS);
         Submission s = new Submission(key, row.nonce(), state);
         all.add(s);
         router.live.put(id, s);
@@ -365,10 +366,10 @@
         for (ClaimAction action : actions) {
             if (action instanceof ClaimAction.Write w) {
                 offer(router, new BatchItem(id, w.write()));
-            } else if (action instanceof ClaimAction.MayRun m) {
+            } else if (action instanceof ClaimAction.Grant m) {
                 assertTrue(s.told == null, "permitted after its answer");
                 s.sendBeforeMs = m.sendBeforeMs();
-            } else if (action instanceof ClaimAction.JoinOrStored j) {
+            } else if (action instanceof ClaimAction.ReportAlreadyClaimed j) {
                 s.told = j.row().verdict();
             } else if (action instanceof ClaimAction.Refuse r) {
                 s.told = r.error().verdict();
--- a/masticweir/src/test/java/org/masticweir/forward/CourseTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/CourseTest.java
@@ -31,12 +31,12 @@
     /** A caller is told that its booking may have been made, though nothing of it was sent. */
     @Test
     void sendThatIsWithdrawnBeforeItLeavesHasNotRun() {
-        Course course = world.course(Repeatability.MUTATING, 60);
+        RequestStateMachine course = world.course(Repeatability.MUTATING, 60);
         send(course.next(0));
-        assertEquals(Verdict.MAY_HAVE_RUN, course.expired().verdict());
-        course.withdrawn(0);
-        assertEquals(Verdict.NOT_RUN, course.expired().verdict());
-        assertEquals(0, course.sends());
+        assertEquals(Verdict.MAY_HAVE_RUN, course.endAtDeadline().verdict());
+        course.onSendAborted(0);
+        assertEquals(Verdict.NOT_RUN, course.endAtDeadline().verdict());
+        assertEquals(0, course.sendCount());
     }
 
     /**
@@ -52,20 +52,20 @@
         private int permits = 15;
 
         /** Decides on a repeat that needs a permit. */
-        private Step decided(Course course, Step step, long nowMs) {
-            if (!(step instanceof Step.Repeat)) {
+        private Step decided(RequestStateMachine course, Step step, long nowMs) {
+            if (!(step instanceof Step.AcquireRetryPermit)) {
                 return step;
             }
             boolean granted = permits > 0;
             permits -= granted ? 1 : 0;
-            return course.repeatDecided(granted, nowMs);
+            return course.onRetryDecision(granted, nowMs);
         }
 
-        private Course lostOnce(long nowMs) {
-            Course course = world.course(Repeatability.RESUMABLE, 60);
+        private RequestStateMachine lostOnce(long nowMs) {
+            RequestStateMachine course = world.course(Repeatability.RESUMABLE, 60);
             BackendServer first = send(course.next(nowMs)).server();
-            course.event(3);
-            Step again = decided(course, course.lost(first, nowMs), nowMs);
+            course.onEvent(3);
+            Step again = decided(course, course.onSendLost(first, nowMs), nowMs);
             assertInstanceOf(Step.Send.class, again);
             return course;
         }
@@ -74,23 +74,23 @@
             while (permits > 0) {
                 lostOnce(0).close();
                 world.listed(0);
-                world.servers.forEach(s -> world.health.answered(s.life(), 0));
+                world.servers.forEach(s -> world.health.recordAnswer(s.incarnation(), 0));
             }
-            while (world.repeats.tryRepeat(ForwardWorld.SERVICE, 0)) {
+            while (world.repeats.tryRetry(ForwardWorld.SERVICE, 0)) {
                 // What this router's own requests allow is used up as well.
             }
         }
 
         @Test
         void isNotSpentOnSendsThatReachNoServer() {
-            Course cutOff = world.course(Repeatability.RESUMABLE, 60);
-            Step step = cutOff.lost(send(cutOff.next(0)).server(), 0);
+            RequestStateMachine cutOff = world.course(Repeatability.RESUMABLE, 60);
+            Step step = cutOff.onSendLost(send(cutOff.next(0)).server(), 0);
             step = decided(cutOff, step, 0);
             for (int i = 1; i <= VAIN_SENDS; i++) {
                 long now = i;
-                Step after = cutOff.notSent(send(step).server(), now);
-                world.servers.forEach(s -> world.health.answered(s.life(), now));
-                step = decided(cutOff, after instanceof Step.Hold ? cutOff.next(i) : after, i);
+                Step after = cutOff.onConnectFailed(send(step).server(), now);
+                world.servers.forEach(s -> world.health.recordAnswer(s.incarnation(), now));
+                step = decided(cutOff, after instanceof Step.Wait ? cutOff.next(i) : after, i);
             }
             assertInstanceOf(Step.Send.class, step);
             lostOnce(100);
@@ -98,22 +98,22 @@
 
         @Test
         void isWaitedForByAStreamWhoseCallerHasPartOfIt() {
-            Course course = world.course(Repeatability.RESUMABLE, 60);
+            RequestStateMachine course = world.course(Repeatability.RESUMABLE, 60);
             BackendServer first = send(course.next(0)).server();
-            course.event(3);
+            course.onEvent(3);
             spend();
-            assertInstanceOf(Step.Hold.class, decided(course, course.lost(first, 100), 100));
-            assertInstanceOf(Step.Hold.class, decided(course, course.next(9_900), 9_900));
+            assertInstanceOf(Step.Wait.class, decided(course, course.onSendLost(first, 100), 100));
+            assertInstanceOf(Step.Wait.class, decided(course, course.next(9_900), 9_900));
             permits = 1;
             assertInstanceOf(Step.Send.class, decided(course, course.next(10_100), 10_100));
         }
 
         @Test
         void isWaitedForByAStreamWhileItsFirstEventCanBeInTime() {
-            Course course = world.course(Repeatability.RESUMABLE, 60);
+            RequestStateMachine course = world.course(Repeatability.RESUMABLE, 60);
             BackendServer first = send(course.next(0)).server();
             spend();
-            assertInstanceOf(Step.Hold.class, decided(course, course.lost(first, 100), 100));
+            assertInstanceOf(Step.Wait.class, decided(course, course.onSendLost(first, 100), 100));
             long lateMs = ForwardWorld.GOAL_MS;
             Step.End end = end(decided(course, course.next(lateMs), lateMs));
             assertEquals("no retry budget", end.reason());
@@ -121,10 +121,10 @@
 
         @Test
         void isNotWaitedForByALookup() {
-            Course course = world.course(Repeatability.IDEMPOTENT, 3);
+            RequestStateMachine course = world.course(Repeatability.IDEMPOTENT, 3);
             BackendServer first = send(course.next(0)).server();
             spend();
-            Step.End end = end(decided(course, course.lost(first, 100), 100));
+            Step.End end = end(decided(course, course.onSendLost(first, 100), 100));
             assertEquals("no retry budget", end.reason());
         }
     }
@@ -132,7 +132,7 @@
     /** Requests that must not run twice. */
     @Nested
     class Mutating {
-        private final Course course = world.course(Repeatability.MUTATING, 3);
+        private final RequestStateMachine course = world.course(Repeatability.MUTATING, 3);
 
         /**
          * A family gets its letter twice: the server that was writing it breaks off, the request
@@ -141,7 +141,7 @@
         @Test
         void isNotSentAgainOnceItMayHaveRun() {
             BackendServer first = send(course.next(0)).server();
-            Step.End end = end(course.lost(first, 100));
+            Step.End end = end(course.onSendLost(first, 100));
             assertEquals(Verdict.MAY_HAVE_RUN, end.verdict());
             assertEquals(502, end.code().httpStatus(), "a refusal would say that it has not run");
         }
@@ -149,15 +149,15 @@
         @Test
         void goesToAnotherServerAfterAWordThatItDidNotRun() {
             BackendServer first = send(course.next(0)).server();
-            assertNotEquals(first, send(course.refused(5)).server());
+            assertNotEquals(first, send(course.onRefused(5)).server());
         }
 
         @Test
         void isRefusedAsNotRunAfterAllSendsWereRefused() {
             course.next(0);
-            course.refused(1);
-            course.refused(2);
-            Step.End end = end(course.refused(3));
+            course.onRefused(1);
+            course.onRefused(2);
+            Step.End end = end(course.onRefused(3));
             assertEquals(Verdict.NOT_RUN, end.verdict());
             assertEquals(503, end.code().httpStatus());
             assertTrue(end.retryAfterMs().isPresent());
@@ -166,14 +166,14 @@
         @Test
         void mayHaveRunWhileItIsAtAServer() {
             course.next(0);
-            assertEquals(ErrorCode.DEADLINE_EXCEEDED, course.expired().code());
+            assertEquals(ErrorCode.DEADLINE_EXCEEDED, course.endAtDeadline().code());
         }
     }
 
     /** Streams that may go on elsewhere. */
     @Nested
     class Resumable {
-        private final Course course = world.course(Repeatability.RESUMABLE, 5);
+        private final RequestStateMachine course = world.course(Repeatability.RESUMABLE, 5);
 
         /**
          * A report stands still for a second: its engine is lost, and another one reads the whole
@@ -182,33 +182,33 @@
         @Test
         void goesOnAtTheHolderOfItsCopyAfterItsLastEvent() {
             Step.Send first = send(course.next(0));
-            course.event(41);
-            Step.Send next = send(course.lost(first.server(), 2_000));
-            assertEquals(first.holder().orElseThrow(), next.server());
+            course.onEvent(41);
+            Step.Send next = send(course.onSendLost(first.server(), 2_000));
+            assertEquals(first.copyHolder().orElseThrow(), next.server());
             assertTrue(next.fromCopy());
-            assertEquals(OptionalLong.of(41), next.afterEvent());
+            assertEquals(OptionalLong.of(41), next.lastEventId());
         }
 
         @Test
         void hasItsCopyInAnotherDomain() {
             Step.Send first = send(course.next(0));
-            assertNotEquals(first.server().domain(), first.holder().orElseThrow().domain());
+            assertNotEquals(first.server().domain(), first.copyHolder().orElseThrow().domain());
         }
 
         @Test
         void doesNotAskForACopyBeforeItsFirstEvent() {
             Step.Send first = send(course.next(0));
-            assertFalse(send(course.lost(first.server(), 500)).fromCopy());
+            assertFalse(send(course.onSendLost(first.server(), 500)).fromCopy());
         }
 
         @Test
         void startsAnewWhereTheHolderHasNoCopy() {
             Step.Send first = send(course.next(0));
-            course.event(3);
-            send(course.lost(first.server(), 1_000));
-            Step.Send anew = send(course.refused(1_010));
+            course.onEvent(3);
+            send(course.onSendLost(first.server(), 1_000));
+            Step.Send anew = send(course.onRefused(1_010));
             assertFalse(anew.fromCopy());
-            assertEquals(OptionalLong.of(3), anew.afterEvent());
+            assertEquals(OptionalLong.of(3), anew.lastEventId());
         }
 
         /** An address that changed hands is not one of the servers that the route allows. */
@@ -216,10 +216,10 @@
         void doesNotCountServersThatAreGone() {
             Step step = course.next(0);
             for (int i = 0; i < 5; i++) {
-                step = course.wrongServer(send(step).server(), i);
+                step = course.onWrongServer(send(step).server(), i);
             }
             send(step);
-            assertEquals(1, course.sends());
+            assertEquals(1, course.sendCount());
         }
 
         /**
@@ -229,23 +229,23 @@
         @Test
         void returnsToAnEngineThatWasLeftIfNoOtherIsLeft() {
             ForwardWorld small = new ForwardWorld().domain("a", 1).domain("b", 1);
-            Course alone = small.course(Repeatability.RESUMABLE, 5);
+            RequestStateMachine alone = small.course(Repeatability.RESUMABLE, 5);
             BackendServer first = send(alone.next(0)).server();
-            alone.event(1);
-            BackendServer second = send(alone.lost(first, 1_000)).server();
-            alone.event(2);
-            assertInstanceOf(Step.Hold.class, alone.lost(second, 1_100));
+            alone.onEvent(1);
+            BackendServer second = send(alone.onSendLost(first, 1_000)).server();
+            alone.onEvent(2);
+            assertInstanceOf(Step.Wait.class, alone.onSendLost(second, 1_100));
             Step.Send third = send(alone.next(1_100 + ServerHealth.FIRST_DOWN_MS));
             assertEquals(first, third.server());
-            assertEquals(OptionalLong.of(2), third.afterEvent());
+            assertEquals(OptionalLong.of(2), third.lastEventId());
         }
 
         @Test
         void waitsForAServerIfTheCallerHasPartOfTheAnswer() {
             Step.Send first = send(course.next(0));
-            course.event(7);
+            course.onEvent(7);
             world.servers.clear();
-            assertInstanceOf(Step.Hold.class, course.lost(first.server(), 1_000));
+            assertInstanceOf(Step.Wait.class, course.onSendLost(first.server(), 1_000));
         }
     }
 
@@ -256,10 +256,10 @@
      */
     @Nested
     class OfACallerThatComesBack {
-        private final Course course = world.course(ForwardWorld.planOfReturn(41));
+        private final RequestStateMachine course = world.course(ForwardWorld.planOfReturn(41));
 
         private ImmutableList<BackendServer> asked() {
-            return assertInstanceOf(Step.Ask.class, course.next(0)).engines();
+            return assertInstanceOf(Step.QueryPromptCaches.class, course.next(0)).engines();
         }
 
         @Test
@@ -273,9 +273,9 @@
         void goesToTheEngineThatKeepsItsPrompt() {
             BackendServer keeper = world.byId("b-3");
             assertTrue(asked().contains(keeper));
-            Step.Send send = send(course.found(Optional.of(keeper), 10));
+            Step.Send send = send(course.onPromptCacheResult(Optional.of(keeper), 10));
             assertEquals(keeper, send.server());
-            assertEquals(OptionalLong.of(41), send.afterEvent());
+            assertEquals(OptionalLong.of(41), send.lastEventId());
             assertFalse(send.fromCopy(), "the memory of another attempt is not its own");
         }
 
@@ -283,34 +283,40 @@
         void goesElsewhereIfThatEngineWasLostMeanwhile() {
             BackendServer keeper = world.byId("b-3");
             asked();
-            world.health.failed(keeper, 5);
-            assertNotEquals(keeper, send(course.found(Optional.of(keeper), 10)).server());
+            world.health.recordFailure(keeper, 5);
+            assertNotEquals(
+                    keeper, send(course.onPromptCacheResult(Optional.of(keeper), 10)).server());
         }
 
         @Test
         void goesElsewhereAfterThatEngineRefusedIt() {
             asked();
             BackendServer keeper = world.byId("b-3");
-            course.found(Optional.of(keeper), 10);
-            assertNotEquals(keeper, send(course.refused(20)).server());
+            course.onPromptCacheResult(Optional.of(keeper), 10);
+            assertNotEquals(keeper, send(course.onRefused(20)).server());
         }
 
         @Test
         void isPlacedLikeAnyOtherIfNoneKeepsIt() {
             asked();
-            assertEquals("a", send(course.found(Optional.empty(), 10)).server().domain().value());
+            assertEquals(
+                    "a",
+                    send(course.onPromptCacheResult(Optional.empty(), 10))
+                            .server()
+                            .domain()
+                            .value());
         }
 
         @Test
         void doesNotAskEnginesThatAreDown() {
-            world.servers.forEach(s -> world.health.failed(s, 0));
-            assertInstanceOf(Step.Hold.class, course.next(1));
+            world.servers.forEach(s -> world.health.recordFailure(s, 0));
+            assertInstanceOf(Step.Wait.class, course.next(1));
         }
 
         @Test
         void asksAFewOfManyEngines() {
             world.domain("c", 40);
-            assertEquals(Placement.MOST_ASKED, asked().size());
+            assertEquals(ServerSelector.MOST_ASKED, asked().size());
         }
     }
 
@@ -326,10 +332,10 @@
 
         @Test
         void waitsForAnEighthOfItsGoalWhileAllAreDown() {
-            world.servers.forEach(s -> world.health.failed(s, 0));
-            Course course = world.course(Repeatability.IDEMPOTENT, 2);
-            assertInstanceOf(Step.Hold.class, course.next(0));
-            world.servers.forEach(s -> world.health.failed(s, 600));
+            world.servers.forEach(s -> world.health.recordFailure(s, 0));
+            RequestStateMachine course = world.course(Repeatability.IDEMPOTENT, 2);
+            assertInstanceOf(Step.Wait.class, course.next(0));
+            world.servers.forEach(s -> world.health.recordFailure(s, 600));
             end(course.next(ForwardWorld.GOAL_MS / 8 + 1));
         }
     }
@@ -340,24 +346,24 @@
      */
     @Nested
     class WaitsForAnEngine {
-        private final Course first = world.course(Repeatability.RESUMABLE, 5);
-        private final Course second = world.course(Repeatability.RESUMABLE, 5);
+        private final RequestStateMachine first = world.course(Repeatability.RESUMABLE, 5);
+        private final RequestStateMachine second = world.course(Repeatability.RESUMABLE, 5);
 
         private void fill() {
-            world.servers.forEach(s -> world.loads.holding(s.life(), 80_000));
+            world.servers.forEach(s -> world.loads.addCopyTokens(s.incarnation(), 80_000));
         }
 
         private void free(String engine) {
-            world.loads.holding(world.byId(engine).life(), -80_000);
+            world.loads.addCopyTokens(world.byId(engine).incarnation(), -80_000);
         }
 
         @Test
         void behindThoseThatCameBefore() {
             fill();
-            assertInstanceOf(Step.Hold.class, first.next(0));
-            assertInstanceOf(Step.Hold.class, second.next(10));
+            assertInstanceOf(Step.Wait.class, first.next(0));
+            assertInstanceOf(Step.Wait.class, second.next(10));
             free("a-1");
-            assertInstanceOf(Step.Hold.class, second.next(20));
+            assertInstanceOf(Step.Wait.class, second.next(20));
             send(first.next(30));
             send(second.next(40));
         }
@@ -367,7 +373,7 @@
             fill();
             first.next(0);
             free("a-1");
-            assertInstanceOf(Step.Hold.class, second.next(10));
+            assertInstanceOf(Step.Wait.class, second.next(10));
             send(first.next(20));
         }
 
@@ -386,7 +392,7 @@
         void notBehindOneWhoseTimeIsOver() {
             fill();
             first.next(0);
-            Course late = world.course(Repeatability.RESUMABLE, 5);
+            RequestStateMachine late = world.course(Repeatability.RESUMABLE, 5);
             free("a-1");
             send(late.next(ForwardWorld.GOAL_MS / 2 + 1));
         }
@@ -394,8 +400,8 @@
         @Test
         void forHalfOfItsGoal() {
             fill();
-            assertInstanceOf(Step.Hold.class, first.next(0));
-            assertInstanceOf(Step.Hold.class, first.next(ForwardWorld.GOAL_MS / 2 - 1));
+            assertInstanceOf(Step.Wait.class, first.next(0));
+            assertInstanceOf(Step.Wait.class, first.next(ForwardWorld.GOAL_MS / 2 - 1));
             Step.End end = end(first.next(ForwardWorld.GOAL_MS / 2));
             assertEquals(Verdict.NOT_RUN, end.verdict());
         }
@@ -403,8 +409,8 @@
         @Test
         void notAtAllIfMoreWaitThanCanBeServedInTime() {
             fill();
-            for (int i = 0; i < WaitingLine.LEAST_LENGTH; i++) {
-                assertInstanceOf(Step.Hold.class, world.course(Repeatability.RESUMABLE, 5).next(i));
+            for (int i = 0; i < WaitQueue.LEAST_LENGTH; i++) {
+                assertInstanceOf(Step.Wait.class, world.course(Repeatability.RESUMABLE, 5).next(i));
             }
             Step.End end = end(first.next(10));
             assertEquals("too many wait", end.reason());
@@ -413,7 +419,8 @@
 
         @Test
         void notAtAllIfItIsLargerThanAnyEngine() {
-            Course large = world.course(ForwardWorld.planOfSize(new RequestSize(90_000, 10)));
+            RequestStateMachine large =
+                    world.course(ForwardWorld.planOfSize(new RequestSize(90_000, 10)));
             Step.End end = end(large.next(0));
             assertTrue(end.retryAfterMs().isEmpty(), "it need not come back");
         }
@@ -424,17 +431,17 @@
     class FailedAnswers {
         @Test
         void ofIdempotentRequestsAreTriedElsewhereOnce() {
-            Course course = world.course(Repeatability.IDEMPOTENT, 2);
+            RequestStateMachine course = world.course(Repeatability.IDEMPOTENT, 2);
             course.next(0);
-            assertTrue(course.failedAnswer(50).isPresent());
-            assertTrue(course.failedAnswer(100).isEmpty());
+            assertTrue(course.onErrorAnswer(50).isPresent());
+            assertTrue(course.onErrorAnswer(100).isEmpty());
         }
 
         @Test
         void ofMutatingRequestsAreTheAnswer() {
-            Course course = world.course(Repeatability.MUTATING, 2);
+            RequestStateMachine course = world.course(Repeatability.MUTATING, 2);
             course.next(0);
-            assertTrue(course.failedAnswer(50).isEmpty());
+            assertTrue(course.onErrorAnswer(50).isEmpty());
         }
     }
 
@@ -444,37 +451,37 @@
      */
     @Nested
     class AnswerThatDoesNotCome {
-        private final Course course = world.course(Repeatability.IDEMPOTENT, 2);
+        private final RequestStateMachine course = world.course(Repeatability.IDEMPOTENT, 2);
 
         @Test
         void isWaitedForForPartOfTheGoal() {
             course.next(0);
-            assertTrue(course.slowAfterMs().getAsLong() < ForwardWorld.GOAL_MS);
+            assertTrue(course.hedgeDelayMs().getAsLong() < ForwardWorld.GOAL_MS);
         }
 
         @Test
         void isAskedForElsewhereOnce() {
             Step.Send first = send(course.next(0));
-            Step.Send second = send(course.slow(3_000).orElseThrow());
+            Step.Send second = send(course.onSlowAnswer(3_000).orElseThrow());
             assertNotEquals(first.server(), second.server());
-            assertTrue(course.slowAfterMs().isEmpty());
+            assertTrue(course.hedgeDelayMs().isEmpty());
         }
 
         @Test
         void isNotAskedForElsewhereWhileAllServersAreBusy() {
             course.next(0);
-            world.servers.forEach(s -> world.loads.reported(s.life(), 96, 2_900));
-            assertTrue(course.slow(3_000).isEmpty());
-            assertEquals(1, course.sends());
+            world.servers.forEach(s -> world.loads.recordServerReport(s.incarnation(), 96, 2_900));
+            assertTrue(course.onSlowAnswer(3_000).isEmpty());
+            assertEquals(1, course.sendCount());
         }
 
         @Test
         void ofAMutatingRequestIsWaitedForToTheEnd() {
-            Course mutating = world.course(Repeatability.MUTATING, 2);
+            RequestStateMachine mutating = world.course(Repeatability.MUTATING, 2);
             mutating.next(0);
-            assertTrue(mutating.slowAfterMs().isEmpty());
-            assertTrue(mutating.slow(3_000).isEmpty());
-            assertEquals(1, mutating.sends());
+            assertTrue(mutating.hedgeDelayMs().isEmpty());
+            assertTrue(mutating.onSlowAnswer(3_000).isEmpty());
+            assertEquals(1, mutating.sendCount());
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/forward/CourseWaitTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/CourseWaitTest.java
@@ -20,37 +20,37 @@
     private void useUpOwnRepeats(long nowMs) {
         boolean left = true;
         while (left) {
-            left = world.repeats.tryRepeat(ForwardWorld.SERVICE, nowMs);
+            left = world.repeats.tryRetry(ForwardWorld.SERVICE, nowMs);
         }
     }
 
     /** Returns a stream that was lost, and asks for a permit to be sent again. */
-    private Course asking(long nowMs) {
-        Course course = world.course(Repeatability.RESUMABLE, 60);
+    private RequestStateMachine asking(long nowMs) {
+        RequestStateMachine course = world.course(Repeatability.RESUMABLE, 60);
         BackendServer first = send(course.next(nowMs)).server();
-        course.event(3);
+        course.onEvent(3);
         useUpOwnRepeats(nowMs);
-        assertInstanceOf(Step.Repeat.class, course.lost(first, nowMs));
+        assertInstanceOf(Step.AcquireRetryPermit.class, course.onSendLost(first, nowMs));
         return course;
     }
 
     /** Repeats go beyond the allowance: permits of one window are used in a later one. */
     @Test
     void permitIsAskedForAgainAfterAWaitForAServer() {
-        Course course = asking(100);
+        RequestStateMachine course = asking(100);
         ImmutableList<BackendServer> all = ImmutableList.copyOf(world.servers);
         world.servers.clear();
-        assertInstanceOf(Step.Hold.class, course.repeatDecided(true, 200));
+        assertInstanceOf(Step.Wait.class, course.onRetryDecision(true, 200));
         world.servers.addAll(all);
-        assertInstanceOf(Step.Repeat.class, course.next(200 + HeldPermits.VALID_MS));
+        assertInstanceOf(Step.AcquireRetryPermit.class, course.next(200 + HeldPermits.VALID_MS));
     }
 
     @Test
     void permitIsUsedAfterAShortWaitForAServer() {
-        Course course = asking(100);
+        RequestStateMachine course = asking(100);
         ImmutableList<BackendServer> all = ImmutableList.copyOf(world.servers);
         world.servers.clear();
-        assertInstanceOf(Step.Hold.class, course.repeatDecided(true, 200));
+        assertInstanceOf(Step.Wait.class, course.onRetryDecision(true, 200));
         world.servers.addAll(all);
         send(course.next(200 + HeldPermits.VALID_MS - 1));
     }
@@ -58,7 +58,7 @@
     /** Requests reach a server long after it said that it leaves: it had been connected to. */
     @Test
     void serverThatLeavesWhileItIsConnectedToGetsNothing() {
-        Course course = world.course(Repeatability.MUTATING, 60);
+        RequestStateMachine course = world.course(Repeatability.MUTATING, 60);
         BackendServer chosen = send(course.next(0)).server();
         assertTrue(course.mayStillSend(chosen, 1));
         world.servers.remove(chosen);
--- a/masticweir/src/test/java/org/masticweir/forward/EngineOverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/EngineOverloadTest.java
@@ -41,9 +41,9 @@
     private static final class Report {
         final int number;
         final long arrivedMs;
-        final Course course;
+        final RequestStateMachine course;
 
-        Report(int number, long arrivedMs, Course course) {
+        Report(int number, long arrivedMs, RequestStateMachine course) {
             this.number = number;
             this.arrivedMs = arrivedMs;
             this.course = course;
@@ -60,8 +60,8 @@
         Step next(Report report, long nowMs);
     }
 
-    private RequestPlan planAt(long nowMs) {
-        RequestPlan plan = ForwardWorld.planOfSize(ForwardWorld.PROMPT);
+    private RequestParameters planAt(long nowMs) {
+        RequestParameters plan = ForwardWorld.planOfSize(ForwardWorld.PROMPT);
         return ForwardWorld.at(plan, nowMs, nowMs + 25_000);
     }
 
@@ -88,8 +88,8 @@
                     served++;
                     boolean behind = waiting.stream().anyMatch(w -> w.number < report.number);
                     overtaken += behind ? 1 : 0;
-                    LoadTicket ticket = LoadTicket.open(world.loads, send, ForwardWorld.PROMPT);
-                    due.add(new Due(now + READ_MS, ticket::read));
+                    LoadEntry ticket = LoadEntry.open(world.loads, send, ForwardWorld.PROMPT);
+                    due.add(new Due(now + READ_MS, ticket::endPrefill));
                     due.add(new Due(now + RUN_MS, ticket::close));
                     each.remove();
                 } else if (step instanceof Step.End) {
@@ -104,7 +104,7 @@
     /** Each looks for itself, for an eighth of its goal. */
     private Step withoutLine(Report report, long nowMs) {
         if (nowMs - report.arrivedMs > ForwardWorld.GOAL_MS / 8) {
-            return report.course.expired();
+            return report.course.endAtDeadline();
         }
         ImmutableList<BackendServer> servers = ImmutableList.copyOf(world.servers);
         Optional<BackendServer> engine =
@@ -115,9 +115,9 @@
                         Set.of(),
                         nowMs);
         if (engine.isEmpty()) {
-            return new Step.Hold(TICK_MS);
+            return new Step.Wait(TICK_MS);
         }
-        return new Step.Send(engine.get(), Optional.empty(), false, report.course.lastEvent());
+        return new Step.Send(engine.get(), Optional.empty(), false, report.course.lastEventId());
     }
 
     private Step inLine(Report report, long nowMs) {
--- a/masticweir/src/test/java/org/masticweir/forward/ForwardWorld.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ForwardWorld.java
@@ -12,7 +12,7 @@
 import org.masticweir.catalog.EngineSpec;
 import org.masticweir.catalog.Repeatability;
 import org.masticweir.catalog.Route;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.catalog.ServiceName;
 import org.masticweir.id.DomainId;
 import org.masticweir.id.EngineId;
@@ -27,21 +27,21 @@
     static final long GOAL_MS = 4_500;
 
     final List<BackendServer> servers = new ArrayList<>();
-    final LoadBoard loads = LoadBoard.create();
+    final LoadTracker loads = LoadTracker.create();
     final ServerHealth health = ServerHealth.create();
     final ServerNotices notices = ServerNotices.create();
     final ServerLimits limits = ServerLimits.create();
-    final Placement placement =
-            Placement.create(
+    final ServerSelector placement =
+            ServerSelector.create(
                     loads, health, notices, limits, DomainId.of("a"), new SplittableRandom(7));
-    final WaitingLine line = WaitingLine.create();
-    final ServiceRepeats repeats = repeatsOfABusyRouter();
+    final WaitQueue line = WaitQueue.create();
+    final ServiceRetryBudgets repeats = repeatsOfABusyRouter();
 
     /** Its own requests allow 64 repeats. */
-    private static ServiceRepeats repeatsOfABusyRouter() {
-        ServiceRepeats repeats = ServiceRepeats.of(0.8, 150);
+    private static ServiceRetryBudgets repeatsOfABusyRouter() {
+        ServiceRetryBudgets repeats = ServiceRetryBudgets.of(0.8, 150);
         for (int i = 0; i < 100; i++) {
-            repeats.requested(SERVICE, 0);
+            repeats.recordRequest(SERVICE, 0);
         }
         return repeats;
     }
@@ -56,18 +56,19 @@
     }
 
     void listed(long nowMs) {
-        health.listed(Set.copyOf(servers.stream().map(BackendServer::life).toList()), nowMs);
+        health.updateListed(
+                Set.copyOf(servers.stream().map(BackendServer::incarnation).toList()), nowMs);
     }
 
-    static ServerLife life(String id) {
-        return ServerLife.ofUnknownStart(EngineId.of(id));
+    static ServerIncarnation life(String id) {
+        return ServerIncarnation.ofUnknownStart(EngineId.of(id));
     }
 
     static BackendServer server(String id, String domain) {
         return server(life(id), domain);
     }
 
-    static BackendServer server(ServerLife life, String domain) {
+    static BackendServer server(ServerIncarnation life, String domain) {
         return new BackendServer(
                 life,
                 SERVICE,
@@ -81,16 +82,16 @@
         return servers.stream().filter(s -> s.id().value().equals(id)).findAny().orElseThrow();
     }
 
-    Course course(Repeatability repeatability, int attempts) {
+    RequestStateMachine course(Repeatability repeatability, int attempts) {
         return course(plan(repeatability, attempts));
     }
 
-    Course course(RequestPlan plan) {
-        return course(plan, SendGate.open());
+    RequestStateMachine course(RequestParameters plan) {
+        return course(plan, ContentPolicy.open());
     }
 
-    Course course(RequestPlan plan, SendGate gate) {
-        return Course.of(
+    RequestStateMachine course(RequestParameters plan, ContentPolicy gate) {
+        return RequestStateMachine.of(
                 plan,
                 () -> ImmutableList.copyOf(servers),
                 placement,
@@ -102,9 +103,9 @@
     }
 
     /** Returns the plan of a stream whose caller has its events up to {@code lastEvent}. */
-    static RequestPlan planOfReturn(long lastEvent) {
-        RequestPlan first = plan(Repeatability.RESUMABLE, 5);
-        return new RequestPlan(
+    static RequestParameters planOfReturn(long lastEvent) {
+        RequestParameters first = plan(Repeatability.RESUMABLE, 5);
+        return new RequestParameters(
                 first.route(),
                 first.service(),
                 first.engine(),
@@ -116,33 +117,33 @@
     }
 
     /** Returns {@code plan} of a request that is received and expires at other times. */
-    static RequestPlan at(RequestPlan plan, long receivedMs, long expiresMs) {
-        return new RequestPlan(
+    static RequestParameters at(RequestParameters plan, long receivedMs, long expiresMs) {
+        return new RequestParameters(
                 plan.route(),
                 plan.service(),
                 plan.engine(),
                 plan.size(),
                 plan.prompt(),
-                plan.callersEvent(),
+                plan.callerLastEventId(),
                 receivedMs,
                 expiresMs);
     }
 
     /** Returns the plan of a stream of {@code size}. */
-    static RequestPlan planOfSize(RequestSize size) {
-        RequestPlan usual = plan(Repeatability.RESUMABLE, 5);
-        return new RequestPlan(
+    static RequestParameters planOfSize(RequestSize size) {
+        RequestParameters usual = plan(Repeatability.RESUMABLE, 5);
+        return new RequestParameters(
                 usual.route(),
                 usual.service(),
                 usual.engine(),
                 size,
                 usual.prompt(),
-                usual.callersEvent(),
+                usual.callerLastEventId(),
                 usual.receivedMs(),
                 usual.expiresMs());
     }
 
-    static RequestPlan plan(Repeatability repeatability, int attempts) {
+    static RequestParameters plan(Repeatability repeatability, int attempts) {
         boolean streams = repeatability == Repeatability.RESUMABLE;
         Route route =
                 new Route(
@@ -158,7 +159,7 @@
                         attempts,
                         false,
                         ImmutableList.of(new Route.Share(SERVICE, 1)));
-        return new RequestPlan(
+        return new RequestParameters(
                 route,
                 SERVICE,
                 streams ? Optional.of(ENGINE) : Optional.empty(),
--- a/masticweir/src/test/java/org/masticweir/forward/LimitedServersTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/LimitedServersTest.java
@@ -10,18 +10,19 @@
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.Repeatability;
 import org.masticweir.error.Verdict;
-import org.masticweir.permits.LimitWord;
+import org.masticweir.permits.AnnouncedLimit;
 
 /** Where a request goes when servers limit what they take. */
 class LimitedServersTest {
     private final ForwardWorld world = new ForwardWorld().domain("a", 2);
 
     private void limit(List<BackendServer> servers) {
-        servers.forEach(s -> world.limits.answered(s.life(), LimitWord.of(5), 0, 0));
+        servers.forEach(
+                s -> world.limits.recordAnswer(s.incarnation(), AnnouncedLimit.of(5), 0, 0));
     }
 
-    private static Step.Permit permit(Step step) {
-        return assertInstanceOf(Step.Permit.class, step);
+    private static Step.AcquirePermit permit(Step step) {
+        return assertInstanceOf(Step.AcquirePermit.class, step);
     }
 
     @Test
@@ -36,19 +37,20 @@
     @Test
     void areSentARequestOnlyWithAPermit() {
         limit(world.servers);
-        Course course = world.course(Repeatability.MUTATING, 1);
+        RequestStateMachine course = world.course(Repeatability.MUTATING, 1);
         BackendServer server = permit(course.next(0)).server();
-        Step.Send send = assertInstanceOf(Step.Send.class, course.permitted(server, true, 5));
+        Step.Send send =
+                assertInstanceOf(Step.Send.class, course.onPermitDecision(server, true, 5));
         assertEquals(server, send.server());
     }
 
     @Test
     void areLeftForTheNextOneWhenThereIsNoPermit() {
         limit(world.servers);
-        Course course = world.course(Repeatability.RESUMABLE, 3);
+        RequestStateMachine course = world.course(Repeatability.RESUMABLE, 3);
         BackendServer first = permit(course.next(0)).server();
         close(first, 400);
-        BackendServer second = permit(course.permitted(first, false, 5)).server();
+        BackendServer second = permit(course.onPermitDecision(first, false, 5)).server();
         assertNotEquals(first, second);
     }
 
@@ -56,7 +58,7 @@
     @Test
     void refuseAtOnceWhatNoneOfThemCanTakeInTime() {
         limit(world.servers);
-        Course course = world.course(Repeatability.MUTATING, 1);
+        RequestStateMachine course = world.course(Repeatability.MUTATING, 1);
         world.servers.forEach(s -> close(s, 3_000));
         Step.End end = assertInstanceOf(Step.End.class, course.next(0));
         assertEquals(Verdict.NOT_RUN, end.verdict());
@@ -67,9 +69,9 @@
     @Test
     void letARequestWaitForAPermitThatComesInTime() {
         limit(world.servers);
-        Course course = world.course(Repeatability.MUTATING, 1);
+        RequestStateMachine course = world.course(Repeatability.MUTATING, 1);
         world.servers.forEach(s -> close(s, 100));
-        assertInstanceOf(Step.Hold.class, course.next(0));
+        assertInstanceOf(Step.Wait.class, course.next(0));
         permit(course.next(100));
     }
 
@@ -77,18 +79,18 @@
     @Test
     void takeWhatHasBegunFirst() {
         limit(world.servers);
-        Course course = world.course(Repeatability.RESUMABLE, 3);
-        Step.Permit fresh = permit(course.next(0));
-        assertInstanceOf(Step.Send.class, course.permitted(fresh.server(), true, 5));
-        Step.Permit again = permit(course.refused(10));
-        assertInstanceOf(Step.Send.class, course.permitted(again.server(), true, 15));
-        course.event(1);
-        Step.Permit begun = permit(course.lost(again.server(), 20));
+        RequestStateMachine course = world.course(Repeatability.RESUMABLE, 3);
+        Step.AcquirePermit fresh = permit(course.next(0));
+        assertInstanceOf(Step.Send.class, course.onPermitDecision(fresh.server(), true, 5));
+        Step.AcquirePermit again = permit(course.onRefused(10));
+        assertInstanceOf(Step.Send.class, course.onPermitDecision(again.server(), true, 15));
+        course.onEvent(1);
+        Step.AcquirePermit begun = permit(course.onSendLost(again.server(), 20));
         assertTrue(begun.urgency() < fresh.urgency());
         assertTrue(fresh.urgency() < again.urgency());
     }
 
     private void close(BackendServer server, long untilMs) {
-        world.limits.close(server.life(), untilMs);
+        world.limits.blockUntil(server.incarnation(), untilMs);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/forward/PausingServersTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/PausingServersTest.java
@@ -20,7 +20,7 @@
     private final ForwardWorld world = new ForwardWorld().domain("a", 2);
 
     private void pause(BackendServer server, long ms) {
-        world.notices.pauses(server.life(), ms, 0);
+        world.notices.recordPause(server.incarnation(), ms, 0);
     }
 
     private static BackendServer sent(Step step) {
@@ -30,15 +30,15 @@
     @Test
     void othersTakeItThoughTheyAreBusy() {
         pause(world.servers.get(0), PAUSE_MS);
-        world.loads.reported(world.servers.get(1).life(), 96, 0);
+        world.loads.recordServerReport(world.servers.get(1).incarnation(), 96, 0);
         assertEquals(world.servers.get(1), sent(world.course(Repeatability.MUTATING, 1).next(0)));
     }
 
     @Test
     void theyTakeItOnceTheirTimeIsOver() {
         world.servers.forEach(s -> pause(s, 100));
-        Course course = world.course(Repeatability.MUTATING, 1);
-        assertInstanceOf(Step.Hold.class, course.next(0));
+        RequestStateMachine course = world.course(Repeatability.MUTATING, 1);
+        assertInstanceOf(Step.Wait.class, course.next(0));
         assertInstanceOf(Step.Send.class, course.next(100));
     }
 
@@ -55,19 +55,19 @@
     @Test
     void itIsRefusedAtOnceWhereSomePauseAndTheOthersLeave() {
         pause(world.servers.get(0), PAUSE_MS);
-        world.notices.leaves(world.servers.get(1).life(), 0);
+        world.notices.recordLeaving(world.servers.get(1).incarnation(), 0);
         assertInstanceOf(Step.End.class, world.course(Repeatability.MUTATING, 1).next(0));
     }
 
     @Test
     void streamGoesOnElsewhereWhenTheHolderOfItsCopyPauses() {
         world.domain("b", 1);
-        Course course = world.course(Repeatability.RESUMABLE, 3);
+        RequestStateMachine course = world.course(Repeatability.RESUMABLE, 3);
         Step.Send first = assertInstanceOf(Step.Send.class, course.next(0));
-        BackendServer holder = first.holder().orElseThrow();
-        course.event(1);
+        BackendServer holder = first.copyHolder().orElseThrow();
+        course.onEvent(1);
         pause(holder, PAUSE_MS);
-        assertNotEquals(holder, sent(course.lost(first.server(), 10)));
+        assertNotEquals(holder, sent(course.onSendLost(first.server(), 10)));
     }
 
     @Test
@@ -87,9 +87,10 @@
     @Test
     void theyAreNotAskedForKeptPrompts() {
         pause(world.servers.get(0), PAUSE_MS);
-        Step.Ask ask =
+        Step.QueryPromptCaches ask =
                 assertInstanceOf(
-                        Step.Ask.class, world.course(ForwardWorld.planOfReturn(4)).next(0));
+                        Step.QueryPromptCaches.class,
+                        world.course(ForwardWorld.planOfReturn(4)).next(0));
         assertEquals(ImmutableList.of(world.servers.get(1)), ask.engines());
     }
 
@@ -98,16 +99,16 @@
     void theyGetTimeForWhatTheyHaveWithoutBeingAsked() {
         Step.Send send =
                 new Step.Send(world.servers.get(0), Optional.empty(), false, OptionalLong.empty());
-        SendSilence silence =
-                SendSilence.of(
+        SilenceTimer silence =
+                SilenceTimer.of(
                         send,
                         ForwardWorld.plan(Repeatability.RESUMABLE, 5),
                         world.loads,
-                        SilenceBounds.create(),
+                        SilenceTimeouts.create(),
                         0);
-        long dueMs = silence.dueMs();
-        assertTrue(silence.isTooLong(world.health, dueMs));
-        silence.postpone(dueMs);
-        assertEquals(2 * dueMs, silence.dueMs());
+        long dueMs = silence.deadlineMs();
+        assertTrue(silence.needsAction(world.health, dueMs));
+        silence.restart(dueMs);
+        assertEquals(2 * dueMs, silence.deadlineMs());
     }
 }
--- a/masticweir/src/test/java/org/masticweir/forward/PlacementTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/PlacementTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.masticweir.catalog.BackendServer;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.id.DomainId;
 import org.masticweir.id.RouterId;
 
@@ -49,25 +49,25 @@
         @Test
         void ofRunsAwayFromHomeAreAtHome() {
             world.domain("c", 2);
-            world.loads.holding(ForwardWorld.life("a-1"), 40_000);
-            world.loads.holding(ForwardWorld.life("a-2"), 60_000);
+            world.loads.addCopyTokens(ForwardWorld.life("a-1"), 40_000);
+            world.loads.addCopyTokens(ForwardWorld.life("a-2"), 60_000);
             assertEquals("a-1", holderOf("b-1").orElseThrow().id().value());
         }
 
         @Test
         void ofRunsAtHomeAreElsewhereWhereMostMemoryIsFree() {
             world.domain("c", 1);
-            world.loads.holding(ForwardWorld.life("b-1"), 40_000);
-            world.loads.holding(ForwardWorld.life("b-2"), 20_000);
-            world.loads.holding(ForwardWorld.life("c-1"), 30_000);
+            world.loads.addCopyTokens(ForwardWorld.life("b-1"), 40_000);
+            world.loads.addCopyTokens(ForwardWorld.life("b-2"), 20_000);
+            world.loads.addCopyTokens(ForwardWorld.life("c-1"), 30_000);
             assertEquals("b-2", holderOf("a-1").orElseThrow().id().value());
         }
 
         @Test
         void ofRunsAwayFromHomeAreElsewhereWhileThoseAtHomeAreDoubtful() {
             world.domain("c", 1);
-            world.health.failed(world.byId("a-1"), 0);
-            world.health.failed(world.byId("a-2"), 0);
+            world.health.recordFailure(world.byId("a-1"), 0);
+            world.health.recordFailure(world.byId("a-2"), 0);
             assertEquals("c-1", holderOf("b-1").orElseThrow().id().value());
         }
     }
@@ -79,17 +79,21 @@
         @Test
         void withoutPromptInReadingGoFirst() {
             for (int i = 0; i < 4; i++) {
-                world.loads.sent(choose().orElseThrow().life(), ForwardWorld.PROMPT);
+                world.loads.recordSend(choose().orElseThrow().incarnation(), ForwardWorld.PROMPT);
             }
-            world.servers.forEach(s -> assertEquals(1, world.loads.use(s.life()).reading()));
+            world.servers.forEach(
+                    s -> assertEquals(1, world.loads.totalLoad(s.incarnation()).prefills()));
         }
 
         @Test
         void ofPeersCountToo() {
-            ServerUse use = new ServerUse(1, 1, 8_000, 9_000);
+            ServerLoad use = new ServerLoad(1, 1, 8_000, 9_000);
             world.servers.stream()
                     .filter(s -> !s.id().value().equals("b-2"))
-                    .forEach(s -> world.loads.peerUse(RouterId.of("r2"), s.life(), use));
+                    .forEach(
+                            s ->
+                                    world.loads.recordPeerLoad(
+                                            RouterId.of("r2"), s.incarnation(), use));
             assertEquals("b-2", choose().orElseThrow().id().value());
         }
 
@@ -100,8 +104,8 @@
         @Test
         void ofTheOwnDomainAreChosenWhileNoneReadsAPrompt() {
             assertEquals("a", choose().orElseThrow().domain().value());
-            world.loads.sent(ForwardWorld.life("a-1"), RequestSize.none());
-            world.loads.sent(ForwardWorld.life("a-2"), RequestSize.none());
+            world.loads.recordSend(ForwardWorld.life("a-1"), RequestSize.none());
+            world.loads.recordSend(ForwardWorld.life("a-2"), RequestSize.none());
             assertEquals("a", choose().orElseThrow().domain().value());
         }
 
@@ -113,7 +117,7 @@
         void ofTheOwnDomainAreChosenWhileTheyRunAFewRequests() {
             for (String engine : List.of("a-1", "a-2")) {
                 for (int i = 0; i < 3; i++) {
-                    world.loads.sent(ForwardWorld.life(engine), RequestSize.none());
+                    world.loads.recordSend(ForwardWorld.life(engine), RequestSize.none());
                 }
             }
             assertEquals("a", choose().orElseThrow().domain().value());
@@ -123,7 +127,7 @@
         void ofAnotherDomainAreChosenOnceThoseAtHomeRunManyMore() {
             for (String engine : List.of("a-1", "a-2")) {
                 for (int i = 0; i < 5; i++) {
-                    world.loads.sent(ForwardWorld.life(engine), RequestSize.none());
+                    world.loads.recordSend(ForwardWorld.life(engine), RequestSize.none());
                 }
             }
             assertEquals("b", choose().orElseThrow().domain().value());
@@ -131,8 +135,8 @@
 
         @Test
         void ofAnotherDomainAreChosenBeforeASecondPromptAtHome() {
-            world.loads.sent(ForwardWorld.life("a-1"), ForwardWorld.PROMPT);
-            world.loads.sent(ForwardWorld.life("a-2"), ForwardWorld.PROMPT);
+            world.loads.recordSend(ForwardWorld.life("a-1"), ForwardWorld.PROMPT);
+            world.loads.recordSend(ForwardWorld.life("a-2"), ForwardWorld.PROMPT);
             assertEquals("b", choose().orElseThrow().domain().value());
         }
 
@@ -143,17 +147,18 @@
         @Test
         void thatReadTwoPromptsAreNotChosen() {
             for (int i = 0; i < 2 * world.servers.size(); i++) {
-                world.loads.sent(choose().orElseThrow().life(), ForwardWorld.PROMPT);
+                world.loads.recordSend(choose().orElseThrow().incarnation(), ForwardWorld.PROMPT);
             }
-            world.servers.forEach(s -> assertEquals(2, world.loads.use(s.life()).reading()));
+            world.servers.forEach(
+                    s -> assertEquals(2, world.loads.totalLoad(s.incarnation()).prefills()));
             assertTrue(choose().isEmpty());
-            world.loads.read(ForwardWorld.life("b-1"), ForwardWorld.PROMPT);
+            world.loads.recordPrefillEnd(ForwardWorld.life("b-1"), ForwardWorld.PROMPT);
             assertEquals("b-1", choose().orElseThrow().id().value());
         }
 
         @Test
         void withoutRoomInMemoryAreNotChosen() {
-            world.servers.forEach(s -> world.loads.holding(s.life(), 80_000));
+            world.servers.forEach(s -> world.loads.addCopyTokens(s.incarnation(), 80_000));
             assertTrue(choose().isEmpty());
         }
 
@@ -163,7 +168,12 @@
             for (BackendServer s : world.servers) {
                 leaving.add(
                         new BackendServer(
-                                s.life(), s.service(), s.address(), s.domain(), s.slots(), true));
+                                s.incarnation(),
+                                s.service(),
+                                s.address(),
+                                s.domain(),
+                                s.slots(),
+                                true));
             }
             world.servers.clear();
             world.servers.addAll(leaving);
@@ -190,14 +200,14 @@
                 routers.add(new ForwardWorld().domain("a", ENGINES));
             }
             SplittableRandom random = new SplittableRandom(11);
-            Map<ServerLife, List<Long>> reading = new HashMap<>();
+            Map<ServerIncarnation, List<Long>> reading = new HashMap<>();
             List<Runnable> ends = new ArrayList<>();
             int most = 0;
             for (int i = 0; i < PROMPTS; i++) {
                 long now = i * GAP_MS;
                 int r = random.nextInt(ROUTERS);
                 ForwardWorld router = routers.get(r);
-                ServerLife engine =
+                ServerIncarnation engine =
                         router.placement
                                 .server(
                                         ImmutableList.copyOf(router.servers),
@@ -206,16 +216,16 @@
                                         Set.of(),
                                         now)
                                 .orElseThrow()
-                                .life();
-                router.loads.sent(engine, ForwardWorld.PROMPT);
+                                .incarnation();
+                router.loads.recordSend(engine, ForwardWorld.PROMPT);
                 List<Long> until = reading.computeIfAbsent(engine, e -> new ArrayList<>());
                 until.removeIf(ms -> ms <= now);
                 until.add(now + READ_MS);
                 most = Math.max(most, until.size());
-                ends.add(() -> router.loads.read(engine, ForwardWorld.PROMPT));
+                ends.add(() -> router.loads.recordPrefillEnd(engine, ForwardWorld.PROMPT));
                 ends.add(
                         () -> {
-                            router.loads.ended(engine, ForwardWorld.PROMPT);
+                            router.loads.recordEnd(engine, ForwardWorld.PROMPT);
                             if (telling) {
                                 tell(routers, r, engine);
                             }
@@ -232,15 +242,15 @@
             return most;
         }
 
-        private void tell(List<ForwardWorld> routers, int from, ServerLife engine) {
+        private void tell(List<ForwardWorld> routers, int from, ServerIncarnation engine) {
             for (int i = 0; i < ROUTERS; i++) {
                 if (i != from) {
                     routers.get(i)
                             .loads
-                            .peerUse(
+                            .recordPeerLoad(
                                     RouterId.of("r" + from),
                                     engine,
-                                    routers.get(from).loads.ownUse(engine));
+                                    routers.get(from).loads.ownLoad(engine));
                 }
             }
         }
@@ -258,7 +268,7 @@
     @Nested
     class PlainServers {
         private BackendServer plain() {
-            return Placement.create(
+            return ServerSelector.create(
                             world.loads,
                             world.health,
                             world.notices,
@@ -276,8 +286,8 @@
 
         @Test
         void thatSayTheyAreFullAreTheLastChoice() {
-            world.loads.reported(ForwardWorld.life("a-1"), 96, 5);
-            world.loads.reported(ForwardWorld.life("a-2"), 96, 5);
+            world.loads.recordServerReport(ForwardWorld.life("a-1"), 96, 5);
+            world.loads.recordServerReport(ForwardWorld.life("a-2"), 96, 5);
             assertEquals("b", plain().domain().value());
         }
 
--- a/masticweir/src/test/java/org/masticweir/forward/QuarantinedCourseTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/QuarantinedCourseTest.java
@@ -25,11 +25,11 @@
 
     private static final long HOLD_LEFT_MS = 60_000;
 
-    private SendRule rule = SendRule.FREE;
+    private SendRule rule = SendRule.ANY_SERVER;
 
-    private Course gated() {
-        SendGate gate =
-                new SendGate() {
+    private RequestStateMachine gated() {
+        ContentPolicy gate =
+                new ContentPolicy() {
                     @Override
                     public SendRule rule(long nowMs) {
                         return rule;
@@ -45,7 +45,7 @@
 
     @Test
     void isRefusedAtOnceAndSaysWhenItIsTakenAgain() {
-        rule = SendRule.NEVER;
+        rule = SendRule.REJECT;
         Step.End refused = end(gated().next(0));
         assertEquals(ErrorCode.QUARANTINED, refused.code());
         assertEquals(Verdict.NOT_RUN, refused.verdict());
@@ -55,10 +55,10 @@
     /** The answer must not say that a request did not run which a server had begun. */
     @Test
     void isNotCalledNotRunAfterASend() {
-        Course course = gated();
+        RequestStateMachine course = gated();
         BackendServer first = send(course.next(0)).server();
-        rule = SendRule.NEVER;
-        Step.End ended = end(course.lost(first, 10));
+        rule = SendRule.REJECT;
+        Step.End ended = end(course.onSendLost(first, 10));
         assertEquals(ErrorCode.ENGINE_LOST, ended.code());
         assertEquals(Verdict.MAY_HAVE_RUN, ended.verdict());
         assertEquals(OptionalLong.empty(), ended.retryAfterMs());
@@ -67,8 +67,8 @@
     @Test
     void waitsForWordOnItNoLongerThanForAServer() {
         rule = SendRule.WAIT;
-        Course course = gated();
-        assertInstanceOf(Step.Hold.class, course.next(0));
+        RequestStateMachine course = gated();
+        assertInstanceOf(Step.Wait.class, course.next(0));
         assertEquals(ErrorCode.OVERLOADED, end(course.next(ForwardWorld.GOAL_MS / 2)).code());
     }
 
@@ -77,8 +77,8 @@
     void goesWhereTheLeastRuns() {
         world.servers.stream()
                 .filter(s -> !s.id().value().equals("b-2"))
-                .forEach(s -> world.loads.sent(s.life(), new RequestSize(0, 100)));
-        rule = SendRule.APART;
+                .forEach(s -> world.loads.recordSend(s.incarnation(), new RequestSize(0, 100)));
+        rule = SendRule.LEAST_LOADED;
         assertEquals("b-2", send(gated().next(0)).server().id().value());
     }
 }
--- a/masticweir/src/test/java/org/masticweir/forward/SendSilenceTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/SendSilenceTest.java
@@ -16,15 +16,15 @@
     private static final long GOAL_MS = ForwardWorld.GOAL_MS;
 
     private final ForwardWorld world = new ForwardWorld().domain("a", 1);
-    private final SilenceBounds bounds = SilenceBounds.create();
+    private final SilenceTimeouts bounds = SilenceTimeouts.create();
 
-    private SendSilence send(boolean fromCopy) {
+    private SilenceTimer send(boolean fromCopy) {
         Step.Send send =
                 new Step.Send(
                         world.servers.get(0), Optional.empty(), fromCopy, OptionalLong.empty());
-        LoadTicket.open(world.loads, send, ForwardWorld.PROMPT);
-        RequestPlan plan = ForwardWorld.plan(Repeatability.RESUMABLE, 5);
-        return SendSilence.of(send, plan, world.loads, bounds, 0);
+        LoadEntry.open(world.loads, send, ForwardWorld.PROMPT);
+        RequestParameters plan = ForwardWorld.plan(Repeatability.RESUMABLE, 5);
+        return SilenceTimer.of(send, plan, world.loads, bounds, 0);
     }
 
     private void learn(long ms, int times) {
@@ -38,13 +38,13 @@
     class BeforeTheFirstEvent {
         @Test
         void isHalfTheGoalWhileTheSpeedIsUnknown() {
-            assertEquals(GOAL_MS / 2, send(false).dueMs());
+            assertEquals(GOAL_MS / 2, send(false).deadlineMs());
         }
 
         @Test
         void followsTheSpeedOfReading() {
             learn(1_000, 20);
-            assertEquals(1_550, send(false).dueMs());
+            assertEquals(1_550, send(false).deadlineMs());
         }
 
         /**
@@ -56,7 +56,7 @@
         void isNotShortenedByPromptsThatLayInMemory() {
             learn(1_000, 5);
             learn(20, 30);
-            assertTrue(send(false).dueMs() >= GOAL_MS / 4);
+            assertTrue(send(false).deadlineMs() >= GOAL_MS / 4);
         }
 
         /**
@@ -65,27 +65,27 @@
          */
         @Test
         void isTooLongAtOnceIfItsServerIsPassedOver() {
-            SendSilence silence = send(false);
-            assertFalse(silence.isTooLong(world.health, 400));
-            world.health.failed(world.servers.get(0), 390);
-            assertTrue(silence.isTooLong(world.health, 400));
-            assertEquals(400 + SendSilence.LOOK_MS, silence.nextLookMs(400));
+            SilenceTimer silence = send(false);
+            assertFalse(silence.needsAction(world.health, 400));
+            world.health.recordFailure(world.servers.get(0), 390);
+            assertTrue(silence.needsAction(world.health, 400));
+            assertEquals(400 + SilenceTimer.LOOK_MS, silence.nextCheckMs(400));
         }
 
         @Test
         void provesNoLoss() {
-            assertFalse(send(false).provesLoss());
-            assertTrue(send(true).provesLoss());
+            assertFalse(send(false).isLossCertain());
+            assertTrue(send(true).isLossCertain());
         }
     }
 
     /** An engine ran a report, dropped it without a sign, and the caller waited 18 s for it. */
     @Nested
     class WordOfTheEngine {
-        private final SendSilence silence = send(false);
+        private final SilenceTimer silence = send(false);
 
         private boolean mayHold(int admitted, int waiting, String... running) {
-            return silence.reported(
+            return silence.recordReport(
                     new EngineReport(Set.of(running), admitted, waiting, OptionalLong.empty()),
                     "r1",
                     2_300);
@@ -108,15 +108,15 @@
         @Test
         void saysNothingOfARequestThatWasJustSent() {
             EngineReport idle = new EngineReport(Set.of(), 0, 0, OptionalLong.empty());
-            assertTrue(silence.reported(idle, "r1", 256));
-            assertFalse(silence.reported(idle, "r1", SendSilence.REPORT_AGE_MS));
+            assertTrue(silence.recordReport(idle, "r1", 256));
+            assertFalse(silence.recordReport(idle, "r1", SilenceTimer.REPORT_AGE_MS));
         }
 
         @Test
         void givesItTheSameTimeAgain() {
-            long allowedMs = silence.dueMs();
+            long allowedMs = silence.deadlineMs();
             mayHold(1, 0);
-            assertEquals(2_300 + allowedMs, silence.dueMs());
+            assertEquals(2_300 + allowedMs, silence.deadlineMs());
         }
     }
 
@@ -125,18 +125,18 @@
     class BetweenEvents {
         @Test
         void isHalfThePauseThatIsOnTime() {
-            SendSilence silence = send(true);
-            silence.heard(100);
-            assertEquals(100 + 350, silence.dueMs());
+            SilenceTimer silence = send(true);
+            silence.recordEvent(100);
+            assertEquals(100 + 350, silence.deadlineMs());
         }
 
         @Test
         void growsWithThePromptsInReading() {
-            SendSilence silence = send(true);
-            world.loads.sent(world.servers.get(0).life(), ForwardWorld.PROMPT);
-            silence.heard(100);
-            assertTrue(silence.dueMs() > 100 + 350);
-            assertTrue(silence.dueMs() < 100 + 700);
+            SilenceTimer silence = send(true);
+            world.loads.recordSend(world.servers.get(0).incarnation(), ForwardWorld.PROMPT);
+            silence.recordEvent(100);
+            assertTrue(silence.deadlineMs() > 100 + 350);
+            assertTrue(silence.deadlineMs() < 100 + 700);
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/forward/ServerHealthTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerHealthTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 
 /** Which servers are passed over, and for how long. */
 class ServerHealthTest {
@@ -20,8 +20,8 @@
     @Nested
     class DomainThatFailsTogether {
         DomainThatFailsTogether() {
-            health.failed(world.byId("a-1"), 1_000);
-            health.failed(world.byId("a-2"), 1_005);
+            health.recordFailure(world.byId("a-1"), 1_000);
+            health.recordFailure(world.byId("a-2"), 1_005);
         }
 
         @Test
@@ -38,7 +38,7 @@
 
         @Test
         void isNotHeldAgainstAServerThatAnswersSince() {
-            health.answered(world.byId("a-3").life(), 1_020);
+            health.recordAnswer(world.byId("a-3").incarnation(), 1_020);
             assertFalse(health.isDown(world.byId("a-3"), 1_030));
             assertFalse(health.isDoubtful(world.byId("a-3"), 1_030));
         }
@@ -54,7 +54,7 @@
     /** A server refuses what comes, and looks idle. */
     @Nested
     class Refusals {
-        private final ServerLife life = world.byId("a-1").life();
+        private final ServerIncarnation life = world.byId("a-1").incarnation();
 
         private boolean isLastChoice(long nowMs) {
             return health.isLastChoice(world.byId("a-1"), nowMs);
@@ -62,7 +62,7 @@
 
         @Test
         void makeItTheLastChoiceAndNoMore() {
-            assertEquals(ServerHealth.FIRST_REFUSED_MS, health.refused(life, 1_000));
+            assertEquals(ServerHealth.FIRST_REFUSED_MS, health.recordRefusal(life, 1_000));
             assertTrue(isLastChoice(1_299));
             assertFalse(isLastChoice(1_300));
             assertFalse(health.isDown(world.byId("a-1"), 1_000));
@@ -71,40 +71,40 @@
         /** In overload all engines refuse now and then, and all copies would be given up. */
         @Test
         void leaveItsCopiesAlone() {
-            health.refused(life, 1_000);
+            health.recordRefusal(life, 1_000);
             assertFalse(health.isDoubtful(world.byId("a-1"), 1_010));
         }
 
         @Test
         void inARowDoSoForLonger() {
-            health.refused(life, 1_000);
-            assertEquals(600, health.refused(life, 1_300));
-            assertEquals(1_200, health.refused(life, 1_900));
+            health.recordRefusal(life, 1_000);
+            assertEquals(600, health.recordRefusal(life, 1_300));
+            assertEquals(1_200, health.recordRefusal(life, 1_900));
             for (long ms = 4_000; ms < 60_000; ms += 10_000) {
-                health.refused(life, ms);
+                health.recordRefusal(life, ms);
             }
-            assertEquals(4_800, health.refused(life, 70_000));
+            assertEquals(4_800, health.recordRefusal(life, 70_000));
         }
 
         @Test
         void ofRequestsSentTogetherCountOnce() {
-            health.refused(life, 1_000);
-            assertEquals(290, health.refused(life, 1_010));
-            assertEquals(600, health.refused(life, 1_300));
+            health.recordRefusal(life, 1_000);
+            assertEquals(290, health.recordRefusal(life, 1_010));
+            assertEquals(600, health.recordRefusal(life, 1_300));
         }
 
         @Test
         void endWithAnAnswer() {
-            health.refused(life, 1_000);
-            health.answered(life, 1_010);
+            health.recordRefusal(life, 1_000);
+            health.recordAnswer(life, 1_010);
             assertFalse(isLastChoice(1_020));
-            assertEquals(ServerHealth.FIRST_REFUSED_MS, health.refused(life, 1_030));
+            assertEquals(ServerHealth.FIRST_REFUSED_MS, health.recordRefusal(life, 1_030));
         }
 
         @Test
         void ofASecondServerAccuseNotItsDomain() {
-            health.refused(life, 1_000);
-            health.refused(world.byId("a-2").life(), 1_005);
+            health.recordRefusal(life, 1_000);
+            health.recordRefusal(world.byId("a-2").incarnation(), 1_005);
             assertFalse(health.isLastChoice(world.byId("a-3"), 1_010));
         }
     }
@@ -114,14 +114,14 @@
     class SingleFailure {
         @Test
         void accusesNoOther() {
-            health.failed(world.byId("a-1"), 1_000);
-            health.failed(world.byId("a-1"), 1_010);
+            health.recordFailure(world.byId("a-1"), 1_000);
+            health.recordFailure(world.byId("a-1"), 1_010);
             assertFalse(health.isDown(world.byId("a-2"), 1_020));
         }
 
         @Test
         void isOverAfterAShortTime() {
-            health.failed(world.byId("a-1"), 1_000);
+            health.recordFailure(world.byId("a-1"), 1_000);
             assertTrue(health.isDown(world.byId("a-1"), 1_299));
             assertFalse(health.isDown(world.byId("a-1"), 1_300));
         }
@@ -129,7 +129,7 @@
         @Test
         void countsAsOneWhileItLasts() {
             for (int ms = 1_000; ms < 1_300; ms += 10) {
-                health.failed(world.byId("a-1"), ms);
+                health.recordFailure(world.byId("a-1"), ms);
             }
             assertFalse(health.isDown(world.byId("a-1"), 1_300));
         }
@@ -140,21 +140,21 @@
     class Gone {
         @Test
         void neverComesBack() {
-            health.gone(world.byId("a-1"));
+            health.recordGone(world.byId("a-1"));
             assertTrue(health.isDown(world.byId("a-1"), Long.MAX_VALUE / 4));
         }
 
         @Test
         void isToldToPeersOnce() {
-            health.gone(world.byId("a-1"));
-            assertEquals(1, health.takeNews().size());
-            assertEquals(0, health.takeNews().size());
+            health.recordGone(world.byId("a-1"));
+            assertEquals(1, health.drainFailureReports().size());
+            assertEquals(0, health.drainFailureReports().size());
         }
 
         @Test
         void toldByAPeerIsNotToldOn() {
-            health.peerTold(world.byId("a-1"), true, 5);
-            assertEquals(0, health.takeNews().size());
+            health.recordPeerReport(world.byId("a-1"), true, 5);
+            assertEquals(0, health.drainFailureReports().size());
             assertTrue(health.isDown(world.byId("a-1"), 6));
         }
     }
--- a/masticweir/src/test/java/org/masticweir/forward/ServerLivesTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerLivesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.Repeatability;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.id.EngineId;
 import org.masticweir.id.RouterId;
 
@@ -22,8 +22,8 @@
  * kept under the id.
  */
 class ServerLivesTest {
-    private static final ServerLife FIRST = ServerLife.of(EngineId.of("b-1"), 1_000);
-    private static final ServerLife SECOND = ServerLife.of(EngineId.of("b-1"), 2_000);
+    private static final ServerIncarnation FIRST = ServerIncarnation.of(EngineId.of("b-1"), 1_000);
+    private static final ServerIncarnation SECOND = ServerIncarnation.of(EngineId.of("b-1"), 2_000);
 
     private final ForwardWorld world = new ForwardWorld().domain("a", 2);
     private final BackendServer before = ForwardWorld.server(FIRST, "b");
@@ -41,8 +41,8 @@
         @Test
         void ofTheLifeBeforeDoesNotCount() {
             starts(before, 0);
-            world.health.failed(before, 100);
-            world.health.gone(before);
+            world.health.recordFailure(before, 100);
+            world.health.recordGone(before);
             starts(after, 200);
             assertFalse(world.health.isDown(after, 200));
             assertFalse(world.health.isDoubtful(after, 200));
@@ -52,7 +52,7 @@
         void isNotHeldAgainstTheNextLifeByALatePeer() {
             starts(before, 0);
             starts(after, 200);
-            world.health.peerTold(before, true, 250);
+            world.health.recordPeerReport(before, true, 250);
             assertFalse(world.health.isDown(after, 250));
         }
     }
@@ -63,11 +63,13 @@
         @Test
         void ofTheLifeBeforeDoesNotCount() {
             starts(before, 0);
-            world.loads.peerUse(RouterId.of("r2"), FIRST, new ServerUse(9, 2, 16_000, 80_000));
+            world.loads.recordPeerLoad(
+                    RouterId.of("r2"), FIRST, new ServerLoad(9, 2, 16_000, 80_000));
             starts(after, 200);
-            world.loads.retain(Set.copyOf(world.servers.stream().map(s -> s.life()).toList()));
-            assertEquals(ServerUse.none(), world.loads.use(SECOND));
-            assertEquals(ServerUse.none(), world.loads.use(FIRST));
+            world.loads.retainServers(
+                    Set.copyOf(world.servers.stream().map(s -> s.incarnation()).toList()));
+            assertEquals(ServerLoad.none(), world.loads.totalLoad(SECOND));
+            assertEquals(ServerLoad.none(), world.loads.totalLoad(FIRST));
         }
     }
 
@@ -77,22 +79,22 @@
         @Test
         void areNotAskedForAtTheNextLife() {
             starts(before, 0);
-            Course course = world.course(Repeatability.RESUMABLE, 5);
+            RequestStateMachine course = world.course(Repeatability.RESUMABLE, 5);
             Step.Send first = (Step.Send) course.next(0);
-            assertEquals(FIRST, first.holder().orElseThrow().life());
-            course.event(3);
+            assertEquals(FIRST, first.copyHolder().orElseThrow().incarnation());
+            course.onEvent(3);
             starts(after, 1_000);
-            Step.Send next = (Step.Send) course.lost(first.server(), 1_000);
+            Step.Send next = (Step.Send) course.onSendLost(first.server(), 1_000);
             assertFalse(next.fromCopy());
-            assertEquals(OptionalLong.of(3), next.afterEvent());
+            assertEquals(OptionalLong.of(3), next.lastEventId());
         }
     }
 
     /** An engine's report shows that another life answers. */
     @Nested
     class Reports {
-        private boolean isOf(ServerLife life, OptionalLong startedMs) {
-            return new EngineReport(Set.of("r"), 1, 0, startedMs).isOf(life);
+        private boolean isOf(ServerIncarnation life, OptionalLong startedMs) {
+            return new EngineReport(Set.of("r"), 1, 0, startedMs).isFrom(life);
         }
 
         @Test
@@ -104,7 +106,10 @@
         @Test
         void areTakenWhereNoStartIsTold() {
             assertTrue(isOf(FIRST, OptionalLong.empty()));
-            assertTrue(isOf(ServerLife.ofUnknownStart(EngineId.of("b-1")), OptionalLong.of(2_000)));
+            assertTrue(
+                    isOf(
+                            ServerIncarnation.ofUnknownStart(EngineId.of("b-1")),
+                            OptionalLong.of(2_000)));
         }
     }
 }
