--- a/masticweir/src/test/java/org/masticweir/forward/ServerNoticesPropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerNoticesPropertyTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.Property;
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.Repeatability;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 
 /**
  * Sends requests to servers that leave, pause and refuse at random moments, with answers that
@@ -44,9 +44,9 @@
         world.play();
         world.settle();
         for (BackendServer server : world.forward.servers) {
-            boolean used = world.sentSinceSettled.contains(server.life());
-            boolean left = world.leftAtMs.containsKey(server.life());
-            assertTrue(used || left, () -> server.life() + " gets nothing");
+            boolean used = world.sentSinceSettled.contains(server.incarnation());
+            boolean left = world.leftAtMs.containsKey(server.incarnation());
+            assertTrue(used || left, () -> server.incarnation() + " gets nothing");
         }
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** What a server says in one answer. */
-    private record Answer(ServerLife from, long atMs, boolean leaving, long pauseMs) {}
+    private record Answer(ServerIncarnation from, long atMs, boolean leaving, long pauseMs) {}
 
     /** One router and its servers. */
     private static final class World {
@@ -75,15 +75,15 @@
         private final ForwardWorld forward = new ForwardWorld().domain("a", SERVERS);
         private final PriorityQueue<Answer> onTheWay =
                 new PriorityQueue<>((x, y) -> Long.compare(x.atMs(), y.atMs()));
-        private final Set<ServerLife> leaving = new HashSet<>();
-        private final Map<ServerLife, Long> wantsNothingUntilMs = new HashMap<>();
+        private final Set<ServerIncarnation> leaving = new HashSet<>();
+        private final Map<ServerIncarnation, Long> wantsNothingUntilMs = new HashMap<>();
 
         /** What the router was told, by the test's own account. */
-        private final Map<ServerLife, Long> leftAtMs = new HashMap<>();
+        private final Map<ServerIncarnation, Long> leftAtMs = new HashMap<>();
 
-        private final Map<ServerLife, Long> pausedUntilMs = new HashMap<>();
+        private final Map<ServerIncarnation, Long> pausedUntilMs = new HashMap<>();
         private final List<String> broken = new ArrayList<>();
-        private final Set<ServerLife> sentSinceSettled = new HashSet<>();
+        private final Set<ServerIncarnation> sentSinceSettled = new HashSet<>();
         private boolean settled;
         private int refused;
         private long nowMs;
@@ -119,37 +119,37 @@
 
         private void change() {
             int what = random.nextInt(1_000);
-            ServerLife server = any().life();
+            ServerIncarnation server = any().incarnation();
             if (what < 2) {
                 leaving.add(server);
             } else if (what < 12) {
                 wantsNothingUntilMs.put(server, nowMs + 200 + random.nextInt(3_000));
             } else if (what < 16) {
-                forward.notices.listed(Set.of(), nowMs);
+                forward.notices.updateListed(Set.of(), nowMs);
             } else if (what < 20) {
-                forward.notices.listed(
+                forward.notices.updateListed(
                         forward.servers.stream()
-                                .map(BackendServer::life)
+                                .map(BackendServer::incarnation)
                                 .collect(Collectors.toSet()),
                         nowMs);
             }
         }
 
         private void send() {
-            Course course = forward.course(planNow());
+            RequestStateMachine course = forward.course(planNow());
             if (course.next(nowMs) instanceof Step.Send send) {
-                judge(send.server().life());
-                answer(send.server().life());
+                judge(send.server().incarnation());
+                answer(send.server().incarnation());
             }
             course.close();
         }
 
-        private RequestPlan planNow() {
-            RequestPlan plan = ForwardWorld.plan(Repeatability.MUTATING, 1);
+        private RequestParameters planNow() {
+            RequestParameters plan = ForwardWorld.plan(Repeatability.MUTATING, 1);
             return ForwardWorld.at(plan, nowMs, nowMs + 1_500);
         }
 
-        private void judge(ServerLife server) {
+        private void judge(ServerIncarnation server) {
             if (settled) {
                 sentSinceSettled.add(server);
             }
@@ -161,7 +161,7 @@
             }
         }
 
-        private void answer(ServerLife server) {
+        private void answer(ServerIncarnation server) {
             long atMs = nowMs + 2 + random.nextInt(WAY_MS);
             long pauseMs = Math.max(0, wantsNothingUntilMs.getOrDefault(server, 0L) - nowMs);
             onTheWay.add(new Answer(server, atMs, leaving.contains(server), pauseMs));
@@ -174,20 +174,20 @@
         }
 
         private void take(Answer answer) {
-            ServerLife server = answer.from();
+            ServerIncarnation server = answer.from();
             if (answer.leaving()) {
-                forward.notices.leaves(server, nowMs);
+                forward.notices.recordLeaving(server, nowMs);
                 leftAtMs.putIfAbsent(server, nowMs);
             }
             if (answer.pauseMs() == 0) {
-                forward.health.answered(server, nowMs);
+                forward.health.recordAnswer(server, nowMs);
                 return;
             }
             refused++;
-            forward.health.refused(server, nowMs);
+            forward.health.recordRefusal(server, nowMs);
             // One refusal in four asks for no pause.
             if (random.nextInt(4) > 0) {
-                forward.notices.pauses(server, answer.pauseMs(), nowMs);
+                forward.notices.recordPause(server, answer.pauseMs(), nowMs);
                 pausedUntilMs.merge(server, nowMs + answer.pauseMs(), Math::max);
             }
         }
--- a/masticweir/src/test/java/org/masticweir/forward/ServiceRepeatsTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServiceRepeatsTest.java
@@ -17,9 +17,9 @@
     private static final double SHARE = 0.8;
     private static final double WINDOW_S = 10;
 
-    private static int repeatsOf(ServiceRepeats repeats) {
+    private static int repeatsOf(ServiceRetryBudgets repeats) {
         int granted = 0;
-        while (repeats.tryRepeat(SERVICE, 0)) {
+        while (repeats.tryRetry(SERVICE, 0)) {
             granted++;
         }
         return granted;
@@ -29,9 +29,9 @@
     @ParameterizedTest
     @CsvSource({"0, 0", "1, 0", "2, 1", "10, 6", "100, 64"})
     void aRoutersOwnRequestsAllowAShareOfThem(int requests, int expected) {
-        ServiceRepeats repeats = ServiceRepeats.of(SHARE, 150);
+        ServiceRetryBudgets repeats = ServiceRetryBudgets.of(SHARE, 150);
         for (int i = 0; i < requests; i++) {
-            repeats.requested(SERVICE, 0);
+            repeats.recordRequest(SERVICE, 0);
         }
         assertEquals(expected, repeatsOf(repeats));
     }
@@ -40,7 +40,7 @@
     @ParameterizedTest
     @ValueSource(doubles = {20, 24.193548387096776, 150, 150.9, 1_000})
     void theRateOfTheAllowanceStaysWithinItInEachWindow(double allowance) {
-        SharedRate rate = ServiceRepeats.of(SHARE, allowance).allowance().orElseThrow();
+        SharedRate rate = ServiceRetryBudgets.of(SHARE, allowance).allowance().orElseThrow();
         double most = WINDOW_S * rate.perSecond() + rate.burst();
         assertTrue(most <= allowance, most + " in a window");
         assertTrue(WINDOW_S * rate.perSecond() >= 0.85 * allowance, "the rest lies unused");
@@ -48,11 +48,13 @@
 
     @Test
     void noPermitIsAskedForWhileNoneIsToBeHad() {
-        ServiceRepeats repeats = ServiceRepeats.of(SHARE, 150);
-        assertTrue(repeats.mayAsk(SERVICE, 0));
-        repeats.close(SERVICE, 100);
-        assertFalse(repeats.mayAsk(SERVICE, 99));
-        assertTrue(repeats.mayAsk(SERVICE, 100));
-        assertFalse(ServiceRepeats.of(SHARE, 0).mayAsk(SERVICE, 0), "there is no allowance");
+        ServiceRetryBudgets repeats = ServiceRetryBudgets.of(SHARE, 150);
+        assertTrue(repeats.mayRequestPermit(SERVICE, 0));
+        repeats.suspendPermits(SERVICE, 100);
+        assertFalse(repeats.mayRequestPermit(SERVICE, 99));
+        assertTrue(repeats.mayRequestPermit(SERVICE, 100));
+        assertFalse(
+                ServiceRetryBudgets.of(SHARE, 0).mayRequestPermit(SERVICE, 0),
+                "there is no allowance");
     }
 }
--- a/masticweir/src/test/java/org/masticweir/forward/StreamPaceTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/StreamPaceTest.java
@@ -8,7 +8,7 @@
 
 /** How long a stream is expected to take. */
 class StreamPaceTest {
-    private final StreamPace pace = StreamPace.create();
+    private final StreamDurationEstimator pace = StreamDurationEstimator.create();
 
     @Test
     void isUnknownBeforeAStreamHasEnded() {
--- a/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
@@ -20,7 +20,7 @@
 import org.masticweir.id.RequestId;
 import org.masticweir.id.TeamId;
 import org.masticweir.id.WorkClassId;
-import org.masticweir.limits.AdmissionDecision.Admit;
+import org.masticweir.limits.AdmissionDecision.Admitted;
 import org.masticweir.limits.AdmissionDecision.Queued;
 import org.masticweir.limits.AdmissionDecision.Refused;
 
@@ -35,16 +35,17 @@
     private int engines = 1;
     private int busy;
     private int recoveries;
-    private final Admission admission =
-            Admission.create((m, v, now) -> capacity(), t -> 1, m -> recoveries, new Random(3));
+    private final AdmissionController admission =
+            AdmissionController.create(
+                    (m, v, now) -> capacity(), t -> 1, m -> recoveries, new Random(3));
 
     private static WorkClass workClass(String id, int firstMs, int totalMs) {
         return new WorkClass(
                 WorkClassId.of(id), firstMs, totalMs, Reliability.TOKENS, RecoveryPreset.PROMPT);
     }
 
-    private static WorkRequest request(String id, String team, WorkClass c, long now) {
-        return new WorkRequest(RequestId.of(id), TeamId.of(team), c, MODEL, "3", 10, 100, now);
+    private static AdmissionRequest request(String id, String team, WorkClass c, long now) {
+        return new AdmissionRequest(RequestId.of(id), TeamId.of(team), c, MODEL, "3", 10, 100, now);
     }
 
     private Capacity capacity() {
@@ -64,9 +65,9 @@
     }
 
     private void started(AdmissionDecision d) {
-        if (d instanceof Admit) {
+        if (d instanceof Admitted) {
             busy++;
-            admission.sent(d.request());
+            admission.recordSend(d.request());
         }
     }
 
@@ -154,7 +155,7 @@
             recoveries = 2;
             assertInstanceOf(Queued.class, offer("q", "a", REPORTS, 0));
             recoveries = 0;
-            assertInstanceOf(Admit.class, tick(1).get(0));
+            assertInstanceOf(Admitted.class, tick(1).get(0));
         }
     }
 
@@ -177,7 +178,7 @@
             assertTrue(small.expectedWaitMs() <= 200, small.toString());
             busy -= 2;
             List<AdmissionDecision> next = tick(2);
-            assertTrue(next.contains(new Admit(RequestId.of("s"))), next.toString());
+            assertTrue(next.contains(new Admitted(RequestId.of("s"))), next.toString());
         }
 
         @Test
@@ -233,7 +234,7 @@
                 tick(now).forEach(d -> take(d, at));
                 while (busy < PLACES && !fifo.isEmpty()) {
                     busy++;
-                    take(new Admit(RequestId.of(fifo.poll())), now);
+                    take(new Admitted(RequestId.of(fifo.poll())), now);
                 }
                 arrive(0, lookupsPerS, now);
                 arrive(1, reportsPerS, now);
@@ -255,7 +256,7 @@
         }
 
         private void take(AdmissionDecision d, long now) {
-            if (d instanceof Admit) {
+            if (d instanceof Admitted) {
                 int n = Integer.parseInt(d.request().value().substring(1));
                 int kind = (int) offered.get(n)[0];
                 WorkClass c = kind == 0 ? LOOKUPS : REPORTS;
@@ -269,7 +270,7 @@
             for (long[] r : running) {
                 if (r[1] <= now) {
                     busy--;
-                    admission.finished(RequestId.of("n" + r[0]), now);
+                    admission.recordEnd(RequestId.of("n" + r[0]), now);
                 }
             }
             running.removeIf(r -> r[1] <= now);
--- a/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
@@ -15,7 +15,7 @@
 import org.masticweir.id.RequestId;
 import org.masticweir.id.TeamId;
 import org.masticweir.id.WorkClassId;
-import org.masticweir.limits.AdmissionDecision.Admit;
+import org.masticweir.limits.AdmissionDecision.Admitted;
 import org.masticweir.limits.AdmissionDecision.Queued;
 import org.masticweir.limits.AdmissionDecision.Refused;
 import org.masticweir.settings.DaemonSettings;
@@ -47,19 +47,19 @@
                 WorkClassId.of(id), firstMs, 60_000, Reliability.TOKENS, RecoveryPreset.PROMPT);
     }
 
-    private Admission admission(String... lines) {
+    private AdmissionController admission(String... lines) {
         DaemonSettings settings = DaemonSettings.parse("r.ini", LEAST + String.join("\n", lines));
-        return Admission.create(
+        return AdmissionController.create(
                 (m, v, now) -> new Capacity(1, PLACES - busy, PLACES, PLACES, 1_000, 10, 5),
                 t -> 1,
                 m -> 0,
                 new Random(3),
-                LimitTuning.of(settings.limits()));
+                LimitSettings.of(settings.limits()));
     }
 
-    private AdmissionDecision offer(Admission a, String id, String team, WorkClass c) {
-        WorkRequest work =
-                new WorkRequest(
+    private AdmissionDecision offer(AdmissionController a, String id, String team, WorkClass c) {
+        AdmissionRequest work =
+                new AdmissionRequest(
                         RequestId.of(id),
                         TeamId.of(team),
                         c,
@@ -80,13 +80,13 @@
     @Test
     void settingsLeftOutGiveTheDefaults() {
         DaemonSettings settings = DaemonSettings.parse("r.ini", LEAST);
-        assertEquals(LimitTuning.defaults(), LimitTuning.of(settings.limits()));
+        assertEquals(LimitSettings.defaults(), LimitSettings.of(settings.limits()));
     }
 
     /** What comes first from the queue when one place is free. */
     @Nested
     class Order {
-        private String firstOf(Admission a) {
+        private String firstOf(AdmissionController a) {
             offer(a, "report", "a", REPORTS);
             offer(a, "lookup", "a", LOOKUPS);
             busy = PLACES - 1;
@@ -102,9 +102,9 @@
 
         @Test
         void isByTeamUnlessTurnedOff() {
-            Admission fair = admission("headroom_percent = 0");
-            Admission off = admission("headroom_percent = 0", "fair_shares = false");
-            for (Admission a : List.of(fair, off)) {
+            AdmissionController fair = admission("headroom_percent = 0");
+            AdmissionController off = admission("headroom_percent = 0", "fair_shares = false");
+            for (AdmissionController a : List.of(fair, off)) {
                 busy = PLACES;
                 for (int i = 1; i <= 4; i++) {
                     offer(a, "large-" + i, "large", REPORTS);
@@ -120,7 +120,7 @@
     /** Requests that will be late. */
     @Nested
     class Late {
-        private AdmissionDecision seventh(Admission a) {
+        private AdmissionDecision seventh(AdmissionController a) {
             for (int i = 1; i <= 6; i++) {
                 offer(a, "q" + i, "a", LOOKUPS);
             }
@@ -135,14 +135,15 @@
 
         @Test
         void areRefusedFromTheQueueUnlessTurnedOff() {
-            Admission deadlines = admission("predicted_refusal = false");
+            AdmissionController deadlines = admission("predicted_refusal = false");
             seventh(deadlines);
             assertEquals(7, deadlines.tick(400).size());
-            Admission off = admission("predicted_refusal = false", "queue_deadlines = false");
+            AdmissionController off =
+                    admission("predicted_refusal = false", "queue_deadlines = false");
             seventh(off);
             assertEquals(List.of(), off.tick(10_000));
             busy = PLACES - 1;
-            assertInstanceOf(Admit.class, off.tick(10_000).get(0));
+            assertInstanceOf(Admitted.class, off.tick(10_000).get(0));
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/limits/ManyTeamsTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/ManyTeamsTest.java
@@ -29,8 +29,8 @@
                     Reliability.TOKENS,
                     RecoveryPreset.PROMPT);
 
-    private static WorkRequest request(int n) {
-        return new WorkRequest(
+    private static AdmissionRequest request(int n) {
+        return new AdmissionRequest(
                 RequestId.of("r" + n),
                 TeamId.of("t" + n),
                 REPORTS,
@@ -46,7 +46,7 @@
     class InTurn {
         @Test
         void allComeUpWithinThreeTurns() {
-            ClassQueue queue = new ClassQueue(t -> 1, LimitTuning.defaults());
+            ClassQueue queue = new ClassQueue(t -> 1, LimitSettings.defaults());
             for (int n = 0; n < TEAMS; n++) {
                 queue.add(request(n), 0);
             }
@@ -69,8 +69,8 @@
          */
         @Test
         void nothingWaitsPastItHoweverManyTeamsThereAre() {
-            Admission admission =
-                    Admission.create(
+            AdmissionController admission =
+                    AdmissionController.create(
                             (m, v, now) -> new Capacity(1, 0, 20, 20, 1_000, 10, 5),
                             t -> 1,
                             m -> 0,
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
@@ -20,7 +20,7 @@
 import org.masticweir.id.RouterId;
 import org.masticweir.id.TeamId;
 import org.masticweir.id.WorkClassId;
-import org.masticweir.limits.AdmissionDecision.Admit;
+import org.masticweir.limits.AdmissionDecision.Admitted;
 import org.masticweir.limits.AdmissionDecision.Queued;
 import org.masticweir.limits.AdmissionDecision.Refused;
 import org.masticweir.routing.EngineView;
@@ -99,7 +99,7 @@
     private final List<Call> calls = new ArrayList<>();
 
     private OverloadReplay(
-            List<Profile> mix, int engines, Fleet fleet, LimitTuning tuning, int seed) {
+            List<Profile> mix, int engines, Fleet fleet, LimitSettings tuning, int seed) {
         random = new Random(seed);
         this.fleet = fleet;
         this.mix = mix;
@@ -133,7 +133,11 @@
      * for each seed.
      */
     static ImmutableList<OverloadReplay> runs(
-            List<Profile> mix, int engines, LimitTuning tuning, double ratePerS, double burstPerS) {
+            List<Profile> mix,
+            int engines,
+            LimitSettings tuning,
+            double ratePerS,
+            double burstPerS) {
         return runs(mix, engines, Fleet.TWO, tuning, ratePerS, burstPerS);
     }
 
@@ -142,7 +146,7 @@
             List<Profile> mix,
             int engines,
             Fleet fleet,
-            LimitTuning tuning,
+            LimitSettings tuning,
             double ratePerS,
             double burstPerS) {
         return SEEDS.stream()
@@ -263,8 +267,8 @@
             router = routers.get(random.nextInt(fleet.routers));
         }
 
-        WorkRequest work() {
-            return new WorkRequest(
+        AdmissionRequest work() {
+            return new AdmissionRequest(
                     RequestId.of("n" + number),
                     TeamId.of(team),
                     profile.workClass,
@@ -296,18 +300,18 @@
         private final ExpectedDelayChooser chooser;
         private final RouterId id;
         private final TeamShares shares;
-        private final Admission admission;
+        private final AdmissionController admission;
         private final int phaseMs;
         private RoutingSnapshot snapshot;
 
-        Entry(LimitTuning tuning, int index) {
+        Entry(LimitSettings tuning, int index) {
             Random own = new Random(index);
             phaseMs = index * POLL_MS / fleet.routers;
             chooser = ExpectedDelayChooser.create(inFlight, () -> own);
             id = RouterId.of("r" + index);
             shares = TeamShares.create(id, OverloadReplay::shareOf);
             admission =
-                    Admission.create(
+                    AdmissionController.create(
                             SnapshotCapacity.create(
                                     () -> snapshot, inFlight, () -> fleet.routers, tuning),
                             shares,
@@ -325,7 +329,7 @@
                 routers.forEach(other -> other.shares.merge(id, shares.digest(now), now));
             }
             if (now % SETTLE_MS == 0) {
-                shares.settle(now);
+                shares.updateWeights(now);
             }
             if (now % TICK_MS == 0) {
                 admission.tick(now).forEach(this::take);
@@ -338,15 +342,15 @@
 
         void ended(Call call, int engine) {
             inFlight.finished(EngineId.of("e" + engine), clock.nowMs());
-            admission.finished(RequestId.of("n" + call.number), clock.nowMs());
-            shares.used(TeamId.of(call.team), call.tokens, clock.nowMs());
+            admission.recordEnd(RequestId.of("n" + call.number), clock.nowMs());
+            shares.recordUsage(TeamId.of(call.team), call.tokens, clock.nowMs());
         }
 
         private void take(AdmissionDecision decision) {
             Call call = calls.get(Integer.parseInt(decision.request().value().substring(1)));
             if (decision instanceof Refused) {
                 call.refusedAfterMs = clock.nowMs() - call.atMs;
-            } else if (decision instanceof Admit) {
+            } else if (decision instanceof Admitted) {
                 send(call);
             } else {
                 assert decision instanceof Queued;
@@ -358,8 +362,8 @@
             RouteQuery query = RouteQuery.first(MODEL, VERSION, c.id(), call.prompt, List.of());
             Chosen chosen = (Chosen) chooser.choose(snapshot, query, clock.nowMs());
             inFlight.sent(chosen, clock.nowMs());
-            admission.sent(RequestId.of("n" + call.number));
-            shares.used(TeamId.of(call.team), call.prompt, clock.nowMs());
+            admission.recordSend(RequestId.of("n" + call.number));
+            shares.recordUsage(TeamId.of(call.team), call.prompt, clock.nowMs());
             int engine = Integer.parseInt(chosen.view().id().value().substring(1));
             engines.get(engine)
                     .submit(
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
@@ -34,8 +34,8 @@
         return OverloadReplay.runs(mix, 2, tuning(lines), rate, 0);
     }
 
-    private static LimitTuning tuning(String... lines) {
-        return LimitTuning.of(
+    private static LimitSettings tuning(String... lines) {
+        return LimitSettings.of(
                 DaemonSettings.parse("r.ini", LimitTuningTest.LEAST + String.join("\n", lines))
                         .limits());
     }
--- a/masticweir/src/test/java/org/masticweir/limits/RecoveryAdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/RecoveryAdmissionTest.java
@@ -20,8 +20,9 @@
 /** Tests how many recoveries start at a time, and in which order. */
 class RecoveryAdmissionTest {
     private static final ModelId MODEL = ModelId.of("report");
-    private final RecoveryAdmission admission =
-            RecoveryAdmission.create((m, v, now) -> new Capacity(4, 0, 16, 16, 1_000, 10, 5));
+    private final RecoveryAdmissionController admission =
+            RecoveryAdmissionController.create(
+                    (m, v, now) -> new Capacity(4, 0, 16, 16, 1_000, 10, 5));
 
     private static GenerationId generation(String id) {
         return GenerationId.of(RequestId.of(id), 1);
@@ -53,9 +54,9 @@
             }
             assertInstanceOf(Wait.class, offer("report", 4_000, 9_000));
             assertInstanceOf(Wait.class, offer("lookup", 340, 9_000));
-            assertEquals(2, admission.waiting(MODEL));
+            assertEquals(2, admission.waitingCount(MODEL));
             assertEquals(List.of(), admission.tick(10));
-            admission.resumed(generation("g0"));
+            admission.recordResume(generation("g0"));
             assertEquals(List.of(new Start(generation("lookup"))), admission.tick(20));
         }
 
@@ -75,8 +76,8 @@
             for (int n = 0; n < 10; n++) {
                 assertInstanceOf(Start.class, offer("g", 4_000, 9_000));
             }
-            admission.ended(generation("g"));
-            assertEquals(0, admission.waiting(MODEL));
+            admission.recordEnd(generation("g"));
+            assertEquals(0, admission.waitingCount(MODEL));
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/limits/SnapshotCapacityTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/SnapshotCapacityTest.java
@@ -38,12 +38,12 @@
         void aPartOfTheFreePlacesIsOursLessWhatWeSentSince() {
             InFlight inFlight = InFlight.create();
             SnapshotCapacity source = SnapshotCapacity.create(() -> snapshot(6), inFlight, () -> 8);
-            assertEquals(5, source.of(MODEL, "3", 0).freePlaces(), 0.01);
-            assertEquals(2, source.of(MODEL, "3", 0).fairPlaces(), 0.01);
+            assertEquals(5, source.capacityOf(MODEL, "3", 0).freeSlots(), 0.01);
+            assertEquals(2, source.capacityOf(MODEL, "3", 0).fairShareSlots(), 0.01);
             inFlight.sent(ENGINE, 10);
             inFlight.sent(ENGINE, 10);
-            assertEquals(3, source.of(MODEL, "3", 20).freePlaces(), 0.01);
-            assertEquals(Capacity.none(), source.of(MODEL, "4", 20));
+            assertEquals(3, source.capacityOf(MODEL, "3", 20).freeSlots(), 0.01);
+            assertEquals(Capacity.none(), source.capacityOf(MODEL, "4", 20));
         }
 
         /*
@@ -55,14 +55,14 @@
         void whatWaitsInTheEnginesIsHeldBackByAllTogether() {
             SnapshotCapacity source =
                     SnapshotCapacity.create(() -> snapshot(20), InFlight.create(), () -> 2);
-            assertEquals(-2, source.of(MODEL, "3", 0).freePlaces(), 0.01);
+            assertEquals(-2, source.capacityOf(MODEL, "3", 0).freeSlots(), 0.01);
         }
 
         @Test
         void aloneAllFreePlacesAreOurs() {
             SnapshotCapacity source =
                     SnapshotCapacity.create(() -> snapshot(6), InFlight.create(), () -> 1);
-            assertEquals(10, source.of(MODEL, "3", 0).freePlaces(), 0.01);
+            assertEquals(10, source.capacityOf(MODEL, "3", 0).freeSlots(), 0.01);
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/limits/TeamSharesTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/TeamSharesTest.java
@@ -23,19 +23,19 @@
         @Test
         void lowersTheWeightEverywhereAndRestoresItLater() {
             TeamShares here = shares("r0");
-            here.used(BIG, 1_000, 0);
-            here.used(SMALL, 1_000, 0);
-            here.settle(0);
+            here.recordUsage(BIG, 1_000, 0);
+            here.recordUsage(SMALL, 1_000, 0);
+            here.updateWeights(0);
             assertEquals(1, here.weight(BIG), 0.01);
             for (int n = 1; n <= 9; n++) {
                 TeamShares other = shares("r" + n);
-                other.used(BIG, 1_000, 0);
+                other.recordUsage(BIG, 1_000, 0);
                 here.merge(RouterId.of("r" + n), other.digest(0), 0);
             }
-            here.settle(0);
+            here.updateWeights(0);
             assertEquals(0.55, here.weight(BIG), 0.01);
             assertEquals(1, here.weight(SMALL), 0.01);
-            here.settle(60_000);
+            here.updateWeights(60_000);
             assertEquals(1, here.weight(BIG), 0.01);
         }
     }
@@ -47,11 +47,11 @@
         void digestsStaySmallAndHoldTheLargest() {
             TeamShares here = shares("r0");
             for (int n = 0; n < 4_500; n++) {
-                here.used(TeamId.of("t" + n), 1, 0);
+                here.recordUsage(TeamId.of("t" + n), 1, 0);
             }
-            here.used(BIG, 50, 0);
-            ShareDigest digest = here.digest(0);
-            assertEquals(ShareDigest.MAX_TOP, digest.top().size());
+            here.recordUsage(BIG, 50, 0);
+            TeamUsageDigest digest = here.digest(0);
+            assertEquals(TeamUsageDigest.MAX_TOP, digest.top().size());
             assertEquals(BIG, digest.top().get(0).team());
             assertTrue(digest.activeTeams() <= 512);
         }
--- a/masticweir/src/test/java/org/masticweir/permits/PermitFleet.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitFleet.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.catalog.ServiceName;
 import org.masticweir.error.ErrorCode;
 import org.masticweir.error.MasticweirException;
@@ -28,7 +28,8 @@
  * off.
  */
 final class PermitFleet {
-    static final ServerLife SERVER = ServerLife.ofUnknownStart(EngineId.of("i-limited"));
+    static final ServerIncarnation SERVER =
+            ServerIncarnation.ofUnknownStart(EngineId.of("i-limited"));
 
     /** Repeats that all routers may send in ten seconds beyond their own shares. */
     static final double ALLOWED_REPEATS = 150;
@@ -117,7 +118,7 @@
             toldMs = Long.MAX_VALUE;
         }
 
-        private void tell(LimitNews news) {
+        private void tell(LimitUpdate news) {
             linked.forEach(peer -> send(nodes.get(peer).id, news));
         }
 
@@ -143,7 +144,7 @@
         @Override
         public boolean send(RouterId to, PeerMessage message) {
             Node peer = byId(to);
-            deliver(this, peer, () -> peer.shared.told(id, (LimitNews) message));
+            deliver(this, peer, () -> peer.shared.handleUpdate(id, (LimitUpdate) message));
             return true;
         }
 
@@ -157,7 +158,9 @@
             deliver(
                     this,
                     peer,
-                    () -> peer.permits.asked(id, (PermitAsk) message, replyTo(peer, answer)));
+                    () ->
+                            peer.permits.handleRequest(
+                                    id, (PermitRequest) message, replyTo(peer, answer)));
             return answer;
         }
 
@@ -186,12 +189,12 @@
         private void request(int asksLeft) {
             if (!limits.isLimited(SERVER)) {
                 sendToServer();
-            } else if (limits.closedForMs(SERVER, nowMs) == 0 && asksLeft > 0) {
-                shared.ask(
+            } else if (limits.blockedForMs(SERVER, nowMs) == 0 && asksLeft > 0) {
+                shared.requestPermit(
                         SERVER,
                         0,
                         decision -> {
-                            if (decision.granted()) {
+                            if (decision.isGranted()) {
                                 sendToServer();
                             } else {
                                 request(asksLeft - 1);
@@ -205,15 +208,15 @@
             if (nowMs < repeatsClosedMs) {
                 return;
             }
-            permits.ask(
+            permits.request(
                     REPEATS,
                     0,
                     ALLOWANCE,
                     decision -> {
-                        if (decision.granted()) {
+                        if (decision.isGranted()) {
                             repeats.add(new Arrival(nowMs, index, true));
                         } else {
-                            repeatsClosedMs = nowMs + decision.againMs();
+                            repeatsClosedMs = nowMs + decision.retryAfterMs();
                         }
                     });
         }
@@ -225,19 +228,19 @@
             in(
                     WAY_TO_SERVER_MS + random.nextInt(ANSWER_MS),
                     () -> {
-                        LimitWord word =
+                        AnnouncedLimit word =
                                 limit.isPresent()
-                                        ? LimitWord.of(limit.getAsDouble())
-                                        : LimitWord.none();
+                                        ? AnnouncedLimit.of(limit.getAsDouble())
+                                        : AnnouncedLimit.none();
                         here(() -> answered(word, sentMs));
                     });
         }
 
-        private void answered(LimitWord word, long sentMs) {
-            if (word.kind() == LimitWord.Kind.NAMED) {
+        private void answered(AnnouncedLimit word, long sentMs) {
+            if (word.kind() == AnnouncedLimit.Kind.ANNOUNCED) {
                 toldMs = Math.min(toldMs, nowMs + TOLD_MS);
             }
-            shared.answered(SERVER, word, "request", sentMs);
+            shared.handleAnswer(SERVER, word, "request", sentMs);
         }
     }
 
@@ -255,7 +258,7 @@
         for (int i = 0; i < routers; i++) {
             nodes.add(new Node(i));
         }
-        nodes.forEach(n -> nodes.forEach(peer -> n.permits.learn(peer.id)));
+        nodes.forEach(n -> nodes.forEach(peer -> n.permits.addRouter(peer.id)));
         nodes.forEach(this::linkSoon);
     }
 
@@ -342,7 +345,7 @@
             return;
         }
         node.permits.linkUp(peer.id);
-        node.shared.all().ifPresent(news -> node.send(peer.id, news));
+        node.shared.snapshot().ifPresent(news -> node.send(peer.id, news));
     }
 
     private void linkDown(Node node, Node peer) {
@@ -378,7 +381,7 @@
                 () -> {
                     node.up = true;
                     node.begin();
-                    nodes.forEach(peer -> node.permits.learn(peer.id));
+                    nodes.forEach(peer -> node.permits.addRouter(peer.id));
                     linkSoon(node);
                 });
     }
--- a/masticweir/src/test/java/org/masticweir/permits/PermitIssuerTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitIssuerTest.java
@@ -5,14 +5,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.id.EngineId;
 import org.masticweir.id.RouterId;
 
 /** Who gets the permits of one rate, and how many there are. */
 class PermitIssuerTest {
     private static final PermitKey KEY =
-            PermitKey.ofServer(ServerLife.ofUnknownStart(EngineId.of("i-1")));
+            PermitKey.ofServer(ServerIncarnation.ofUnknownStart(EngineId.of("i-1")));
 
     private static final SharedRate EIGHT = SharedRate.ofServer(8);
     private static final int URGENT = 0;
@@ -30,7 +30,7 @@
 
     private int grantedAtOnce(long sinceMs, long nowMs) {
         int granted = 0;
-        while (ask("r1", URGENT, sinceMs, nowMs).granted()) {
+        while (ask("r1", URGENT, sinceMs, nowMs).isGranted()) {
             granted++;
         }
         return granted;
@@ -60,26 +60,26 @@
     @Test
     void leavesATokenToMoreUrgentAsksThatWait() {
         grantedAtOnce(0, 1_000);
-        assertFalse(ask(URGENT, 1_050).granted());
-        assertFalse(ask("r2", LATER, 0, 1_130).granted(), "one token, for the urgent ask");
-        assertTrue(ask(URGENT, 1_140).granted());
+        assertFalse(ask(URGENT, 1_050).isGranted());
+        assertFalse(ask("r2", LATER, 0, 1_130).isGranted(), "one token, for the urgent ask");
+        assertTrue(ask(URGENT, 1_140).isGranted());
     }
 
     /** What more urgent callers leave must not lie unused. */
     @Test
     void grantsLessUrgentAsksWhatIsLeft() {
         grantedAtOnce(0, 1_000);
-        assertFalse(ask(URGENT, 1_050).granted());
-        assertTrue(ask("r2", LATER, 0, 1_260).granted(), "two tokens, one for each");
-        assertTrue(ask(URGENT, 1_270).granted());
+        assertFalse(ask(URGENT, 1_050).isGranted());
+        assertTrue(ask("r2", LATER, 0, 1_260).isGranted(), "two tokens, one for each");
+        assertTrue(ask(URGENT, 1_270).isGranted());
     }
 
     @Test
     void countsUsesThatDidNotWaitForAPermit() {
         grantedAtOnce(0, 1_000);
         issuer.used(KEY, EIGHT, 0, 1_010);
-        assertFalse(ask(URGENT, 1_130).granted());
-        assertTrue(ask(URGENT, 1_260).granted());
+        assertFalse(ask(URGENT, 1_130).isGranted());
+        assertTrue(ask(URGENT, 1_260).isGranted());
     }
 
     @Test
@@ -87,9 +87,9 @@
         for (int i = 0; i < 95; i++) {
             ask("r" + i, URGENT, 0, 1_000);
         }
-        assertTrue(ask("r1", URGENT, 0, 1_001).againMs() >= 1_000);
-        assertTrue(ask("r1", URGENT, 0, 20_000).granted(), "the others have no callers any more");
-        assertTrue(ask("r1", URGENT, 0, 20_001).granted());
-        assertTrue(ask("r1", URGENT, 0, 20_002).againMs() <= 125);
+        assertTrue(ask("r1", URGENT, 0, 1_001).retryAfterMs() >= 1_000);
+        assertTrue(ask("r1", URGENT, 0, 20_000).isGranted(), "the others have no callers any more");
+        assertTrue(ask("r1", URGENT, 0, 20_001).isGranted());
+        assertTrue(ask("r1", URGENT, 0, 20_002).retryAfterMs() <= 125);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/permits/ServerLimitsTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/ServerLimitsTest.java
@@ -7,50 +7,50 @@
 import java.util.OptionalDouble;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.id.EngineId;
-import org.masticweir.permits.LimitNews.Word;
+import org.masticweir.permits.LimitUpdate.ServerLimit;
 
 /** Which of several words on a server's limit holds. */
 class ServerLimitsTest {
     private static final EngineId ID = EngineId.of("i-1");
-    private static final ServerLife SERVER = ServerLife.of(ID, 1_000);
-    private static final LimitWord FIVE = LimitWord.of(5);
+    private static final ServerIncarnation SERVER = ServerIncarnation.of(ID, 1_000);
+    private static final AnnouncedLimit FIVE = AnnouncedLimit.of(5);
 
     private final ServerLimits limits = ServerLimits.create();
 
-    private static Word told(OptionalDouble perSecond, long ageMs) {
-        return new Word(SERVER, perSecond, ageMs);
+    private static ServerLimit told(OptionalDouble perSecond, long ageMs) {
+        return new ServerLimit(SERVER, perSecond, ageMs);
     }
 
     @Test
     void beginsAndChangesByTheServersAnswers() {
-        assertTrue(limits.answered(SERVER, FIVE, 0, 100));
-        assertFalse(limits.answered(SERVER, FIVE, 0, 200));
-        assertTrue(limits.answered(SERVER, LimitWord.of(2.5), 150, 300));
+        assertTrue(limits.recordAnswer(SERVER, FIVE, 0, 100));
+        assertFalse(limits.recordAnswer(SERVER, FIVE, 0, 200));
+        assertTrue(limits.recordAnswer(SERVER, AnnouncedLimit.of(2.5), 150, 300));
         assertEquals(OptionalDouble.of(2.5), limits.perSecond(SERVER));
     }
 
     /** The head of a stream was written before the server was in need, and comes after its word. */
     @Test
     void doesNotEndByAnAnswerToARequestThatLeftBeforeIt() {
-        limits.answered(SERVER, FIVE, 0, 100);
-        assertFalse(limits.answered(SERVER, LimitWord.none(), 90, 200));
+        limits.recordAnswer(SERVER, FIVE, 0, 100);
+        assertFalse(limits.recordAnswer(SERVER, AnnouncedLimit.none(), 90, 200));
         assertTrue(limits.isLimited(SERVER));
-        assertTrue(limits.answered(SERVER, LimitWord.none(), 110, 300));
+        assertTrue(limits.recordAnswer(SERVER, AnnouncedLimit.none(), 110, 300));
         assertFalse(limits.isLimited(SERVER));
     }
 
     @Test
     void holdsThroughAnAnswerThatCannotBeRead() {
-        limits.answered(SERVER, FIVE, 0, 100);
-        assertFalse(limits.answered(SERVER, LimitWord.unreadable(), 200, 300));
+        limits.recordAnswer(SERVER, FIVE, 0, 100);
+        assertFalse(limits.recordAnswer(SERVER, AnnouncedLimit.unreadable(), 200, 300));
         assertEquals(OptionalDouble.of(5), limits.perSecond(SERVER));
     }
 
     @Test
     void isNotChangedByAnOlderWordOfAnotherRouter() {
-        limits.answered(SERVER, FIVE, 0, 1_000);
+        limits.recordAnswer(SERVER, FIVE, 0, 1_000);
         assertFalse(limits.told(told(OptionalDouble.empty(), 500), 1_200));
         assertTrue(limits.isLimited(SERVER));
         assertTrue(limits.told(told(OptionalDouble.empty(), 100), 1_200));
@@ -59,8 +59,8 @@
 
     @Test
     void belongsToOneLifeOfAServer() {
-        limits.answered(SERVER, FIVE, 0, 100);
-        ServerLife next = ServerLife.of(ID, 2_000);
+        limits.recordAnswer(SERVER, FIVE, 0, 100);
+        ServerIncarnation next = ServerIncarnation.of(ID, 2_000);
         assertFalse(limits.isLimited(next));
         limits.retain(Set.of(next));
         assertFalse(limits.isLimited(SERVER));
@@ -68,10 +68,10 @@
 
     @Test
     void isClosedOnlyWhileItLasts() {
-        limits.answered(SERVER, FIVE, 0, 100);
-        limits.close(SERVER, 500);
-        assertEquals(300, limits.closedForMs(SERVER, 200));
-        limits.answered(SERVER, LimitWord.none(), 150, 250);
-        assertEquals(0, limits.closedForMs(SERVER, 260));
+        limits.recordAnswer(SERVER, FIVE, 0, 100);
+        limits.blockUntil(SERVER, 500);
+        assertEquals(300, limits.blockedForMs(SERVER, 200));
+        limits.recordAnswer(SERVER, AnnouncedLimit.none(), 150, 250);
+        assertEquals(0, limits.blockedForMs(SERVER, 260));
     }
 }
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.Random;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.id.ContentId;
 import org.masticweir.id.EngineId;
 import org.masticweir.id.RouterId;
@@ -68,8 +68,8 @@
             this.index = index;
         }
 
-        ServerLife life() {
-            return ServerLife.of(EngineId.of("i-" + index), startedMs);
+        ServerIncarnation life() {
+            return ServerIncarnation.of(EngineId.of("i-" + index), startedMs);
         }
     }
 
@@ -98,7 +98,7 @@
         void next() {
             SendRule rule = quarantine().rule(content, nowMs);
             Optional<Server> server = server(rule);
-            if (rule == SendRule.NEVER) {
+            if (rule == SendRule.REJECT) {
                 held++;
                 over = true;
             } else if (sends >= ATTEMPTS || nowMs - receivedMs > PATIENCE_MS && sends == 0) {
@@ -115,7 +115,7 @@
             if (up.isEmpty()) {
                 return Optional.empty();
             }
-            return rule == SendRule.APART
+            return rule == SendRule.LEAST_LOADED
                     ? up.stream().min((a, b) -> a.runs.size() - b.runs.size())
                     : Optional.of(up.get(random.nextInt(up.size())));
         }
@@ -181,7 +181,7 @@
             }
         }
 
-        void lost(ServerLife life) {
+        void lost(ServerIncarnation life) {
             leave();
             if (nowMs - beganMs >= Quarantine.TRIAL_MS) {
                 next();
@@ -248,7 +248,7 @@
             return;
         }
         server.up = false;
-        ServerLife life = server.life();
+        ServerIncarnation life = server.life();
         List<Run> lost = List.copyOf(server.runs);
         server.runs.clear();
         lost.forEach(r -> r.lost(life));
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.id.ContentId;
 import org.masticweir.id.EngineId;
 import org.masticweir.id.RouterId;
@@ -28,8 +28,8 @@
 
     private final Quarantine quarantine = Quarantine.create(RouterId.of("r1"), HOLD_MS);
 
-    private static ServerLife life(int number) {
-        return ServerLife.of(EngineId.of("i-" + number), 1_000 + number);
+    private static ServerIncarnation life(int number) {
+        return ServerIncarnation.of(EngineId.of("i-" + number), 1_000 + number);
     }
 
     /** Time from a send to the end of its server: it has begun to run the request. */
@@ -54,13 +54,13 @@
     class Evidence {
         @Test
         void contentIsNotSentAfterTheLimit() {
-            assertEquals(SendRule.FREE, rule(0));
+            assertEquals(SendRule.ANY_SERVER, rule(0));
             assertEquals(Change.SUSPECTED, quarantine.ended(LETTER, loss(1, 0), 0));
-            assertEquals(SendRule.FREE, rule(0));
+            assertEquals(SendRule.ANY_SERVER, rule(0));
             assertEquals(Change.SUSPECTED, quarantine.ended(LETTER, loss(2, 0), 0));
-            assertEquals(SendRule.APART, rule(0));
+            assertEquals(SendRule.LEAST_LOADED, rule(0));
             assertEquals(Change.QUARANTINED, quarantine.ended(LETTER, loss(3, 0), 0));
-            assertEquals(SendRule.NEVER, rule(0));
+            assertEquals(SendRule.REJECT, rule(0));
         }
 
         /** Two routers had the same letter at one engine, and each lost it there. */
@@ -82,10 +82,10 @@
             for (int i = 0; i < 4; i++) {
                 quarantine.ended(LETTER, new Loss(life(i), 500, 1_000 + i), 1_010);
             }
-            assertEquals(SendRule.FREE, rule(1_010));
+            assertEquals(SendRule.ANY_SERVER, rule(1_010));
             quarantine.ended(LETTER, new Loss(life(5), 1_020, 2_000), 2_000);
             quarantine.ended(LETTER, new Loss(life(6), 2_010, 3_000), 3_000);
-            assertEquals(SendRule.NEVER, rule(3_000));
+            assertEquals(SendRule.REJECT, rule(3_000));
         }
 
         /** The letter was sent on at once, and its next server ended before it could begin. */
@@ -94,17 +94,17 @@
             quarantine.ended(LETTER, new Loss(life(1), 0, 1_000), 1_000);
             quarantine.ended(LETTER, new Loss(life(2), 1_001, 1_010), 1_010);
             quarantine.ended(LETTER, new Loss(life(3), 1_012, 1_020), 1_020);
-            assertEquals(SendRule.FREE, rule(1_020));
+            assertEquals(SendRule.ANY_SERVER, rule(1_020));
         }
 
         /** A server that starts again under its id and ends again has ended twice. */
         @Test
         void eachLifeOfAServerCounts() {
             for (int start = 1; start <= Quarantine.LIMIT; start++) {
-                ServerLife life = ServerLife.of(EngineId.of("i-1"), start);
+                ServerIncarnation life = ServerIncarnation.of(EngineId.of("i-1"), start);
                 quarantine.ended(LETTER, new Loss(life, 0, RUN_MS), RUN_MS);
             }
-            assertEquals(SendRule.NEVER, rule(0));
+            assertEquals(SendRule.REJECT, rule(0));
         }
 
         /** Another server ends while it is still being found out that the last one did. */
@@ -113,7 +113,7 @@
             quarantine.inquiryBegins(LETTER, 0);
             assertEquals(SendRule.WAIT, rule(0));
             quarantine.inquiryEnded(LETTER);
-            assertEquals(SendRule.FREE, rule(1));
+            assertEquals(SendRule.ANY_SERVER, rule(1));
         }
 
         @Test
@@ -132,7 +132,7 @@
             quarantine.ended(LETTER, loss(1, 0), 0);
             quarantine.ended(LETTER, loss(2, 0), 0);
             assertEquals(Change.CLEARED, quarantine.ranWell(LETTER, 10));
-            assertEquals(SendRule.FREE, rule(10));
+            assertEquals(SendRule.ANY_SERVER, rule(10));
             assertEquals(Change.SUSPECTED, quarantine.ended(LETTER, loss(3, 20), 20));
             assertEquals(1, quarantine.held(LETTER).size());
         }
@@ -144,7 +144,7 @@
             quarantine.ranWell(LETTER, 10);
             News late = new News(CrashRecord.of(LETTER).with(loss(1, 0)), false);
             quarantine.told(PEER, late, 30);
-            assertEquals(SendRule.FREE, rule(30));
+            assertEquals(SendRule.ANY_SERVER, rule(30));
         }
 
         /** A connection limit was taken for the end of a server, which then answered. */
@@ -161,8 +161,8 @@
             endThree(0);
             long first = Quarantine.FIRST_HOLD_MS;
             assertEquals(first - 1_000, quarantine.holdLeftMs(LETTER, 1_000));
-            assertEquals(SendRule.NEVER, rule(first - 1));
-            assertEquals(SendRule.APART, rule(first));
+            assertEquals(SendRule.REJECT, rule(first - 1));
+            assertEquals(SendRule.LEAST_LOADED, rule(first));
             quarantine.trialBegins(LETTER, first);
             assertEquals(SendRule.WAIT, rule(first + 1));
             quarantine.trialEnded(LETTER);
@@ -172,20 +172,20 @@
             Change change = quarantine.ended(LETTER, loss(7, first + 2), first + 2);
             assertEquals(Change.QUARANTINED, change);
             assertTrue(quarantine.holdLeftMs(LETTER, first + 2) > first);
-            assertEquals(SendRule.NEVER, rule(3 * first));
+            assertEquals(SendRule.REJECT, rule(3 * first));
         }
 
         @Test
         void contentThatRunsWellAfterItsHoldIsCleared() {
             endThree(0);
             assertEquals(Change.CLEARED, quarantine.ranWell(LETTER, Quarantine.FIRST_HOLD_MS));
-            assertEquals(SendRule.FREE, rule(Quarantine.FIRST_HOLD_MS));
+            assertEquals(SendRule.ANY_SERVER, rule(Quarantine.FIRST_HOLD_MS));
         }
 
         @Test
         void evidenceIsForgottenAfterTheLongestHold() {
             endThree(0);
-            assertEquals(SendRule.FREE, rule(HOLD_MS));
+            assertEquals(SendRule.ANY_SERVER, rule(HOLD_MS));
         }
 
         /** Routers told each other of an old content for ever. */
@@ -209,7 +209,7 @@
             assertTrue(quarantine.trialBegins(LETTER, 1));
             assertEquals(SendRule.WAIT, rule(2));
             quarantine.trialEnded(LETTER);
-            assertEquals(SendRule.FREE, rule(3));
+            assertEquals(SendRule.ANY_SERVER, rule(3));
         }
 
         @Test
@@ -217,10 +217,10 @@
             CrashRecord record = CrashRecord.of(LETTER).with(loss(1, 0));
             quarantine.told(PEER, new News(record, true), 0);
             assertEquals(SendRule.WAIT, rule(1));
-            assertEquals(SendRule.FREE, rule(Quarantine.TRIAL_LOST_MS));
+            assertEquals(SendRule.ANY_SERVER, rule(Quarantine.TRIAL_LOST_MS));
             quarantine.told(PEER, new News(record, true), 20_000);
             quarantine.forget(PEER);
-            assertEquals(SendRule.FREE, rule(20_001));
+            assertEquals(SendRule.ANY_SERVER, rule(20_001));
         }
 
         @Test
@@ -270,8 +270,8 @@
             }
         }
 
-        private Set<ServerLife> held(Quarantine heard) {
-            return heard.held(LETTER).stream().map(Loss::life).collect(Collectors.toSet());
+        private Set<ServerIncarnation> held(Quarantine heard) {
+            return heard.held(LETTER).stream().map(Loss::incarnation).collect(Collectors.toSet());
         }
 
         private Quarantine quarantineOf(List<News> words, Random random) {
@@ -293,8 +293,8 @@
             for (int i = 0; i < Quarantine.MOST_CONTENTS; i++) {
                 quarantine.ended(ContentId.of("c" + i), loss(i, 1), 1);
             }
-            assertEquals(SendRule.NEVER, rule(2));
-            assertEquals(SendRule.FREE, quarantine.rule(ContentId.of("c0"), 2));
+            assertEquals(SendRule.REJECT, rule(2));
+            assertEquals(SendRule.ANY_SERVER, quarantine.rule(ContentId.of("c0"), 2));
             assertEquals(Quarantine.MOST_CONTENTS, quarantine.all(2).size());
         }
     }
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogSharingTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogSharingTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 import org.masticweir.config.DocumentEdit;
 import org.masticweir.id.RouterId;
-import org.masticweir.relay.RelayMessages.CatalogAsk;
-import org.masticweir.relay.RelayMessages.CatalogOffer;
+import org.masticweir.relay.RelayMessages.CatalogReply;
+import org.masticweir.relay.RelayMessages.CatalogRequest;
 import org.masticweir.time.ManualScheduler;
 
 /** What a router asks its peers for, and what it makes of their replies. */
@@ -17,7 +17,7 @@
     private static final RouterId SECOND = RouterId.of("second");
 
     private final ManualScheduler scheduler = new ManualScheduler();
-    private final PlayedPeers peers = new PlayedPeers();
+    private final FakePeers peers = new FakePeers();
     private final Deployment deployment =
             new Deployment(
                     new DeploymentTest.Form(),
@@ -37,8 +37,8 @@
         return text.toString();
     }
 
-    private static CatalogOffer edit(long from, long to) {
-        return CatalogOffer.edit(PackedEdit.of(DocumentEdit.between(text(from), text(to))));
+    private static CatalogReply edit(long from, long to) {
+        return CatalogReply.edit(PackedEdit.of(DocumentEdit.between(text(from), text(to))));
     }
 
     private void inForce(long version) {
@@ -46,17 +46,17 @@
         sharing.changed();
     }
 
-    private void reply(int ask, CatalogOffer offer) {
+    private void reply(int ask, CatalogReply offer) {
         peers.replies.get(ask).complete(offer);
         scheduler.runTo(scheduler.clock().nowMs() + 1);
     }
 
     private void later() {
-        scheduler.runTo(scheduler.clock().nowMs() + HedgedAsk.HEDGE_MS);
+        scheduler.runTo(scheduler.clock().nowMs() + HedgedPeerRequest.HEDGE_DELAY_MS);
     }
 
     private long heldInAsk(int ask) {
-        return ((CatalogAsk) peers.questions.get(ask)).newerThan();
+        return ((CatalogRequest) peers.requests.get(ask)).newerThan();
     }
 
     /** A newer version came meanwhile; the edit of the older text was held to fit none. */
@@ -79,7 +79,7 @@
         assertEquals(1, deployment.catalogVersion());
         sharing.heardOf(FIRST, 3);
         assertEquals(0, heldInAsk(1));
-        reply(1, CatalogOffer.edit(PackedEdit.of(DocumentEdit.between("", text(3)))));
+        reply(1, CatalogReply.edit(PackedEdit.of(DocumentEdit.between("", text(3)))));
         assertEquals(3, deployment.catalogVersion());
     }
 
@@ -88,13 +88,13 @@
     void aVersionThatIsNotUnderstoodIsAskedForOnce() {
         inForce(1);
         sharing.heardOf(FIRST, 2);
-        reply(0, CatalogOffer.whole("not a catalog"));
+        reply(0, CatalogReply.whole("not a catalog"));
         sharing.heardOf(FIRST, 2);
         later();
         sharing.heardOf(SECOND, 2);
-        assertEquals(1, peers.asked.size());
+        assertEquals(1, peers.recipients.size());
         sharing.heardOf(SECOND, 3);
-        assertEquals(2, peers.asked.size());
+        assertEquals(2, peers.recipients.size());
     }
 
     @Test
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogTextsTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogTextsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 import org.masticweir.config.DocumentEdit;
 import org.masticweir.relay.Deployment.CatalogText;
-import org.masticweir.relay.RelayMessages.CatalogAsk;
-import org.masticweir.relay.RelayMessages.CatalogOffer;
+import org.masticweir.relay.RelayMessages.CatalogReply;
+import org.masticweir.relay.RelayMessages.CatalogRequest;
 
 /** What a router gives others of the catalogs that came in force at it. */
 class CatalogTextsTest {
@@ -43,7 +43,7 @@
         }
 
         private Optional<String> given(long held) {
-            CatalogOffer offer = texts.offer(new CatalogAsk(held, true));
+            CatalogReply offer = texts.offer(new CatalogRequest(held, true));
             return offer.edit().flatMap(edit -> edit.unpack().applyTo(text(held)));
         }
 
@@ -57,24 +57,24 @@
 
         @Test
         void givesNothingToWhoHoldsTheNewest() {
-            assertEquals(CatalogOffer.nothing(), texts.offer(new CatalogAsk(0, true)));
+            assertEquals(CatalogReply.nothing(), texts.offer(new CatalogRequest(0, true)));
             inForce(1, 2);
-            assertEquals(CatalogOffer.nothing(), texts.offer(new CatalogAsk(2, true)));
-            assertEquals(CatalogOffer.nothing(), texts.offer(new CatalogAsk(3, true)));
+            assertEquals(CatalogReply.nothing(), texts.offer(new CatalogRequest(2, true)));
+            assertEquals(CatalogReply.nothing(), texts.offer(new CatalogRequest(3, true)));
         }
 
         @Test
         void givesTheWholeToAnOlderRouter() {
             inForce(1, 2);
-            CatalogOffer offer = texts.offer(new CatalogAsk(1, false));
-            assertEquals(CatalogOffer.whole(text(2)), offer);
+            CatalogReply offer = texts.offer(new CatalogRequest(1, false));
+            assertEquals(CatalogReply.whole(text(2)), offer);
         }
 
         /** Two routers hold different texts under one version; an edit must fit its own only. */
         @Test
         void anEditFitsNoOtherText() {
             inForce(1, 2);
-            CatalogOffer offer = texts.offer(new CatalogAsk(1, true));
+            CatalogReply offer = texts.offer(new CatalogRequest(1, true));
             DocumentEdit edit = offer.edit().orElseThrow().unpack();
             assertTrue(edit.applyTo(text(1)).isPresent());
             assertEquals(Optional.empty(), edit.applyTo("1\n" + "{\"route\":\"x\"}\n".repeat(400)));
--- a/masticweir/src/test/java/org/masticweir/relay/DeploymentTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/DeploymentTest.java
@@ -16,7 +16,7 @@
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.Catalog;
 import org.masticweir.catalog.RequestLimits;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.catalog.ServiceName;
 import org.masticweir.id.DomainId;
 import org.masticweir.id.EngineId;
@@ -33,7 +33,7 @@
      * An entry is {@code PORT}, or {@code PORT@START}; a catalog is its version, and more lines
      * that nobody reads.
      */
-    static final class Form implements DeploymentForm {
+    static final class Form implements DeploymentFormat {
         @Override
         public RowKey catalogRow() {
             return RowKey.of("settings", "catalog");
@@ -60,7 +60,7 @@
             String port = at < 0 ? text : text.substring(0, at);
             long start = at < 0 ? 0 : Long.parseLong(text.substring(at + 1));
             return new BackendServer(
-                    ServerLife.of(id, start),
+                    ServerIncarnation.of(id, start),
                     ServiceName.of("s"),
                     new InetSocketAddress("127.0.0.1", Integer.parseInt(port)),
                     DomainId.of("a"),
@@ -108,7 +108,7 @@
 
     private String servers() {
         return view.servers().values().stream()
-                .map(s -> s.life() + ":" + s.address().getPort())
+                .map(s -> s.incarnation() + ":" + s.address().getPort())
                 .sorted()
                 .collect(Collectors.joining(" "));
     }
@@ -132,11 +132,11 @@
         @Test
         void leavesTheRouterUnsureUntilItHoldsIt() {
             inForce(1);
-            assertTrue(view.sure());
+            assertTrue(view.isCatalogFresh());
             heardOf(2);
-            assertFalse(view.sure());
+            assertFalse(view.isCatalogFresh());
             inForce(2);
-            assertTrue(view.sure());
+            assertTrue(view.isCatalogFresh());
         }
 
         @Test
@@ -145,7 +145,7 @@
             heardOf(2);
             clock.advanceMs(SPAN_MS + 1);
             inForce(1);
-            assertTrue(view.sure());
+            assertTrue(view.isCatalogFresh());
         }
 
         @Test
@@ -153,7 +153,7 @@
             inForce(2);
             heardOf(2);
             heardOf(1);
-            assertTrue(view.sure());
+            assertTrue(view.isCatalogFresh());
         }
     }
 
--- a/masticweir/src/test/java/org/masticweir/relay/ExchangeEndTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ExchangeEndTest.java
@@ -50,7 +50,7 @@
     }
 
     private void answer(HttpServerExchange exchange) {
-        ExchangeEnd.onEnd(exchange, new KeptConnections(), () -> ended.complete(null));
+        ExchangeEnd.onEnd(exchange, new KeepAliveConnections(), () -> ended.complete(null));
         HttpHead head = new HttpHead(200, HttpHeaders.copyOf(Map.of()));
         new CallerAnswer(exchange, () -> {}).whole(head, new byte[answerBytes]);
         endedWithTheCall.complete(ended.isDone());
--- a/masticweir/src/test/java/org/masticweir/relay/PlayedPeers.java
+++ b/masticweir/src/test/java/org/masticweir/relay/FakePeers.java
@@ -8,12 +8,12 @@
 import org.masticweir.peer.PeerSender;
 
 /** Peers that reply when a test says so. */
-final class PlayedPeers implements PeerSender {
+final class FakePeers implements PeerSender {
     /** The peers that were asked, in order. */
-    final List<RouterId> asked = new ArrayList<>();
+    final List<RouterId> recipients = new ArrayList<>();
 
     /** What they were asked. */
-    final List<PeerMessage> questions = new ArrayList<>();
+    final List<PeerMessage> requests = new ArrayList<>();
 
     /** Their replies. */
     final List<CompletableFuture<PeerMessage>> replies = new ArrayList<>();
@@ -26,8 +26,8 @@
     @Override
     public CompletableFuture<PeerMessage> ask(RouterId to, PeerMessage question, long timeoutMs) {
         CompletableFuture<PeerMessage> reply = new CompletableFuture<>();
-        asked.add(to);
-        questions.add(question);
+        recipients.add(to);
+        requests.add(question);
         replies.add(reply);
         return reply;
     }
--- a/masticweir/src/test/java/org/masticweir/relay/HedgedAskTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/HedgedAskTest.java
@@ -10,21 +10,22 @@
 import org.masticweir.error.MasticweirException;
 import org.masticweir.id.RouterId;
 import org.masticweir.peer.PeerMessage;
-import org.masticweir.relay.RelayMessages.CatalogAsk;
-import org.masticweir.relay.RelayMessages.CatalogOffer;
+import org.masticweir.relay.RelayMessages.CatalogReply;
+import org.masticweir.relay.RelayMessages.CatalogRequest;
 import org.masticweir.time.ManualScheduler;
 
 /** A reply that came late was dropped and asked for again, or a silent peer held up the rest. */
 class HedgedAskTest {
-    private static final CatalogAsk QUESTION = new CatalogAsk(1, true);
-    private static final PeerMessage REPLY = CatalogOffer.whole("2");
+    private static final CatalogRequest QUESTION = new CatalogRequest(1, true);
+    private static final PeerMessage REPLY = CatalogReply.whole("2");
     private static final RouterId FIRST = RouterId.of("first");
     private static final RouterId SECOND = RouterId.of("second");
     private static final RouterId THIRD = RouterId.of("third");
 
     private final ManualScheduler scheduler = new ManualScheduler();
-    private final PlayedPeers peers = new PlayedPeers();
-    private final HedgedAsk asks = new HedgedAsk(peers, scheduler, scheduler.clock());
+    private final FakePeers peers = new FakePeers();
+    private final HedgedPeerRequest asks =
+            new HedgedPeerRequest(peers, scheduler, scheduler.clock());
     private final List<Optional<PeerMessage>> replies = new ArrayList<>();
 
     private void ask(RouterId peer) {
@@ -43,7 +44,7 @@
     @Test
     void takesAReplyThatComesLate() {
         ask(FIRST);
-        afterMs(4 * HedgedAsk.HEDGE_MS);
+        afterMs(4 * HedgedPeerRequest.HEDGE_DELAY_MS);
         reply(0);
         assertEquals(List.of(Optional.of(REPLY)), replies);
     }
@@ -51,24 +52,24 @@
     @Test
     void asksAPeerNoSecondTimeBeforeItHasReplied() {
         ask(FIRST);
-        afterMs(2 * HedgedAsk.HEDGE_MS);
+        afterMs(2 * HedgedPeerRequest.HEDGE_DELAY_MS);
         ask(FIRST);
-        assertEquals(List.of(FIRST), peers.asked);
+        assertEquals(List.of(FIRST), peers.recipients);
         reply(0);
         ask(FIRST);
-        assertEquals(List.of(FIRST, FIRST), peers.asked);
+        assertEquals(List.of(FIRST, FIRST), peers.recipients);
     }
 
     @Test
     void asksOneOtherPeerAfterAWhile() {
         ask(FIRST);
         ask(SECOND);
-        assertEquals(List.of(FIRST), peers.asked);
-        afterMs(HedgedAsk.HEDGE_MS);
+        assertEquals(List.of(FIRST), peers.recipients);
+        afterMs(HedgedPeerRequest.HEDGE_DELAY_MS);
         ask(SECOND);
-        afterMs(HedgedAsk.HEDGE_MS);
+        afterMs(HedgedPeerRequest.HEDGE_DELAY_MS);
         ask(THIRD);
-        assertEquals(List.of(FIRST, SECOND), peers.asked);
+        assertEquals(List.of(FIRST, SECOND), peers.recipients);
     }
 
     @Test
@@ -80,7 +81,7 @@
                         MasticweirException.notRun(ErrorCode.DEADLINE_EXCEEDED, "link lost"));
         afterMs(1);
         ask(SECOND);
-        assertEquals(List.of(FIRST, SECOND), peers.asked);
+        assertEquals(List.of(FIRST, SECOND), peers.recipients);
         assertEquals(List.of(Optional.empty()), replies);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/relay/LeaveSchedulePropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/LeaveSchedulePropertyTest.java
@@ -56,7 +56,7 @@
     /** One router from the order to its end; time counts from the order. */
     private static final class Leave {
         private final ManualScheduler control = new ManualScheduler();
-        private final RelayIntake intake = new RelayIntake();
+        private final DrainingAdmission intake = new DrainingAdmission();
         private final Set<Arrival> underWay = new HashSet<>();
         private final List<Arrival> broken = new ArrayList<>();
         private final RelayShutdown shutdown =
@@ -80,10 +80,10 @@
             long now = control.clock().nowMs();
             boolean taken =
                     arrival.stream()
-                            ? intake.takesStream(OptionalLong.of(arrival.expectedMs()), now)
-                            : intake.takes(arrival.timeoutMs(), now);
+                            ? intake.admitsStream(OptionalLong.of(arrival.expectedMs()), now)
+                            : intake.admits(arrival.timeoutMs(), now);
             if (taken && !done.isDone()) {
-                intake.begin();
+                intake.requestStarted();
                 underWay.add(arrival);
                 control.at(Math.max(now, arrival.endsMs()), () -> end(arrival));
             }
@@ -91,7 +91,7 @@
 
         private void end(Arrival arrival) {
             if (underWay.remove(arrival)) {
-                intake.end();
+                intake.requestEnded();
             }
         }
 
--- a/masticweir/src/test/java/org/masticweir/relay/RelayIntakeTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/RelayIntakeTest.java
@@ -13,12 +13,12 @@
     private static final long TIMEOUT_MS = 800;
     private static final OptionalLong SHORT = OptionalLong.of(1);
 
-    private final RelayIntake intake = new RelayIntake();
+    private final DrainingAdmission intake = new DrainingAdmission();
 
     @Test
     void takesAllUntilItLeaves() {
-        assertTrue(intake.takes(TIMEOUT_MS, Long.MAX_VALUE / 2));
-        assertTrue(intake.takesStream(OptionalLong.empty(), Long.MAX_VALUE / 2));
+        assertTrue(intake.admits(TIMEOUT_MS, Long.MAX_VALUE / 2));
+        assertTrue(intake.admitsStream(OptionalLong.empty(), Long.MAX_VALUE / 2));
     }
 
     /**
@@ -29,23 +29,23 @@
     @Nested
     class Leaving {
         Leaving() {
-            intake.leave(9_000, 16_850);
+            intake.startDraining(9_000, 16_850);
         }
 
         @Test
         void refusesWhatMayNotEndInTime() {
-            assertFalse(intake.takes(TIMEOUT_MS, 16_818));
-            assertFalse(intake.takes(TIMEOUT_MS, 16_851 - TIMEOUT_MS));
+            assertFalse(intake.admits(TIMEOUT_MS, 16_818));
+            assertFalse(intake.admits(TIMEOUT_MS, 16_851 - TIMEOUT_MS));
         }
 
         @Test
         void takesWhatEndsInTime() {
-            assertTrue(intake.takes(TIMEOUT_MS, 16_849 - TIMEOUT_MS));
+            assertTrue(intake.admits(TIMEOUT_MS, 16_849 - TIMEOUT_MS));
         }
 
         @Test
         void refusesWhatMayTakeAnyTime() {
-            assertFalse(intake.takesStream(OptionalLong.empty(), 9_001));
+            assertFalse(intake.admitsStream(OptionalLong.empty(), 9_001));
         }
 
         /**
@@ -54,36 +54,37 @@
          */
         @Test
         void refusesStreamsThatComeLateHoweverShortTheyShouldBe() {
-            assertTrue(intake.takesStream(SHORT, 9_000 + RelayIntake.STREAMS_MS - 1));
-            assertFalse(intake.takesStream(SHORT, 9_000 + RelayIntake.STREAMS_MS));
-            assertFalse(intake.takesStream(SHORT, 16_000));
+            assertTrue(
+                    intake.admitsStream(SHORT, 9_000 + DrainingAdmission.STREAM_ADMISSION_MS - 1));
+            assertFalse(intake.admitsStream(SHORT, 9_000 + DrainingAdmission.STREAM_ADMISSION_MS));
+            assertFalse(intake.admitsStream(SHORT, 16_000));
         }
 
         @Test
         void refusesEarlyStreamsThatShouldNotEndInTime() {
-            assertTrue(intake.takesStream(OptionalLong.of(7_849), 9_001));
-            assertFalse(intake.takesStream(OptionalLong.of(7_850), 9_001));
+            assertTrue(intake.admitsStream(OptionalLong.of(7_849), 9_001));
+            assertFalse(intake.admitsStream(OptionalLong.of(7_850), 9_001));
         }
 
         @Test
         void takesNothingOnceItIsClosed() {
             intake.close();
-            assertFalse(intake.takes(TIMEOUT_MS, 9_001));
-            assertFalse(intake.takesStream(SHORT, 9_001));
+            assertFalse(intake.admits(TIMEOUT_MS, 9_001));
+            assertFalse(intake.admitsStream(SHORT, 9_001));
         }
 
         @Test
         void sendsCallersBackOnceTheBalancerHasNoticed() {
-            assertEquals(RelayIntake.BALANCER_MS - 500, intake.balancerMs(9_500));
+            assertEquals(DrainingAdmission.BALANCER_DETECTION_MS - 500, intake.balancerMs(9_500));
             assertTrue(intake.balancerMs(14_000) > 0);
         }
     }
 
     @Test
     void countsWhatIsUnderWay() {
-        intake.begin();
-        intake.begin();
-        intake.end();
-        assertEquals(1, intake.underWay());
+        intake.requestStarted();
+        intake.requestStarted();
+        intake.requestEnded();
+        assertEquals(1, intake.inFlightCount());
     }
 }
--- a/masticweir/src/test/java/org/masticweir/relay/RelayShutdownTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/RelayShutdownTest.java
@@ -17,7 +17,7 @@
     private static final long LAST_SIXTH_MS = GRACE_MS - GRACE_MS / 6;
 
     private final ManualScheduler control = new ManualScheduler();
-    private final RelayIntake intake = new RelayIntake();
+    private final DrainingAdmission intake = new DrainingAdmission();
     private long idleClosedAtMs;
     private long endedAtMs;
     private long lateMs;
@@ -33,27 +33,27 @@
     private void endRequests() {
         endedAtMs = control.clock().nowMs();
         if (lateMs > 0) {
-            control.at(endedAtMs + lateMs, intake::end);
+            control.at(endedAtMs + lateMs, intake::requestEnded);
         }
     }
 
     @Test
     void isOverOnceTheBalancerHasNoticedAndNothingIsUnderWay() {
         CompletableFuture<Void> done = shutdown.start(0);
-        control.runTo(RelayIntake.BALANCER_MS - 1);
+        control.runTo(DrainingAdmission.BALANCER_DETECTION_MS - 1);
         assertFalse(done.isDone());
-        control.runTo(RelayIntake.BALANCER_MS);
+        control.runTo(DrainingAdmission.BALANCER_DETECTION_MS);
         assertTrue(done.isDone());
-        assertFalse(intake.takes(1, RelayIntake.BALANCER_MS));
+        assertFalse(intake.admits(1, DrainingAdmission.BALANCER_DETECTION_MS));
     }
 
     @Test
     void waitsForWhatIsUnderWay() {
-        intake.begin();
+        intake.requestStarted();
         CompletableFuture<Void> done = shutdown.start(0);
         control.runTo(5_000);
         assertFalse(done.isDone());
-        intake.end();
+        intake.requestEnded();
         control.runTo(5_100);
         assertTrue(done.isDone());
         control.runTo(GRACE_MS);
@@ -64,29 +64,29 @@
     @Test
     void closesIdleConnectionsOnceTheBalancerSendsNewOnesElsewhere() {
         shutdown.start(0);
-        control.runTo(RelayIntake.BALANCER_MS);
+        control.runTo(DrainingAdmission.BALANCER_DETECTION_MS);
         assertTrue(idleClosedAtMs >= 2_000, "at " + idleClosedAtMs);
-        assertTrue(idleClosedAtMs < RelayIntake.STREAMS_MS, "at " + idleClosedAtMs);
+        assertTrue(idleClosedAtMs < DrainingAdmission.STREAM_ADMISSION_MS, "at " + idleClosedAtMs);
     }
 
     /** A caller sees its connection break, as the process ended with its request under way. */
     @Test
     void endsRequestsWithAnAnswerBeforeTheProcessEnds() {
-        intake.begin();
+        intake.requestStarted();
         CompletableFuture<Void> done = shutdown.start(0);
         control.runTo(GRACE_MS);
         assertTrue(done.isDone());
         assertTrue(endedAtMs >= LAST_SIXTH_MS, "at " + endedAtMs);
-        assertFalse(intake.takes(1, endedAtMs));
+        assertFalse(intake.admits(1, endedAtMs));
     }
 
     /** The process ends over requests that a busy thread was about to answer. */
     @Test
     void waitsForAnswersOfALateThread() {
         lateMs = 250;
-        intake.begin();
+        intake.requestStarted();
         CompletableFuture<Void> done = shutdown.start(0);
-        done.thenRun(() -> underWayAtTheEnd = intake.underWay());
+        done.thenRun(() -> underWayAtTheEnd = intake.inFlightCount());
         control.runTo(GRACE_MS);
         assertTrue(done.isDone());
         assertEquals(0, underWayAtTheEnd);
@@ -94,11 +94,11 @@
 
     @Test
     void takesNoRequestThatMayEndLater() {
-        intake.begin();
+        intake.requestStarted();
         shutdown.start(0);
-        long endsMs = intake.leftMs(0);
-        assertTrue(intake.takes(endsMs - 4_000 - 1, 4_000));
-        assertFalse(intake.takes(endsMs - 4_000, 4_000));
+        long endsMs = intake.remainingMs(0);
+        assertTrue(intake.admits(endsMs - 4_000 - 1, 4_000));
+        assertFalse(intake.admits(endsMs - 4_000, 4_000));
         control.runTo(GRACE_MS);
         assertEquals(endsMs, endedAtMs);
     }
@@ -109,10 +109,10 @@
      */
     @Test
     void countsFromTheOrderThatWaitedForTheStart() {
-        intake.begin();
-        control.runTo(RelayIntake.STREAMS_MS);
+        intake.requestStarted();
+        control.runTo(DrainingAdmission.STREAM_ADMISSION_MS);
         CompletableFuture<Void> done = shutdown.start(0);
-        assertFalse(intake.takesStream(OptionalLong.of(1), RelayIntake.STREAMS_MS));
+        assertFalse(intake.admitsStream(OptionalLong.of(1), DrainingAdmission.STREAM_ADMISSION_MS));
         control.runTo(GRACE_MS);
         assertTrue(done.isDone());
         assertTrue(endedAtMs < GRACE_MS, "at " + endedAtMs);
--- a/masticweir/src/test/java/org/masticweir/relay/StoreFleet.java
+++ b/masticweir/src/test/java/org/masticweir/relay/StoreFleet.java
@@ -23,7 +23,7 @@
 import org.masticweir.peer.PeerMessage;
 import org.masticweir.peer.PeerSender;
 import org.masticweir.peer.Reply;
-import org.masticweir.relay.RelayMessages.CatalogAsk;
+import org.masticweir.relay.RelayMessages.CatalogRequest;
 import org.masticweir.relay.RelayMessages.Pulse;
 import org.masticweir.relay.RelayMessages.RouterAt;
 import org.masticweir.relay.RelayMessages.ServerNews;
@@ -280,7 +280,7 @@
                 sharing.words(from, news);
             } else if (message instanceof ServersAsk ask) {
                 sharing.answer(ask, reply);
-            } else if (message instanceof CatalogAsk ask) {
+            } else if (message instanceof CatalogRequest ask) {
                 catalogs.offer(ask, reply);
             }
         }
--- a/masticweir/src/test/java/org/masticweir/relay/StoreFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/StoreFleetTest.java
@@ -205,7 +205,8 @@
             fleet.runFor(SLOW_FOR_MS);
             double calls = (fleet.store.calls - before) * 1_000.0 / SLOW_FOR_MS;
             assertTrue(calls <= 2 * DOMAINS, calls + " calls a second");
-            assertEquals(ROUTERS, all().stream().filter(r -> r.view.sure()).count(), "sure");
+            assertEquals(
+                    ROUTERS, all().stream().filter(r -> r.view.isCatalogFresh()).count(), "sure");
         }
 
         @ParameterizedTest
--- a/masticweir/src/test/java/org/masticweir/replay/ClaimReplay.java
+++ b/masticweir/src/test/java/org/masticweir/replay/ClaimReplay.java
@@ -13,7 +13,7 @@
 import org.masticweir.claims.ClaimEvent;
 import org.masticweir.claims.ClaimPolicy;
 import org.masticweir.claims.ClaimRow;
-import org.masticweir.claims.ClaimState;
+import org.masticweir.claims.ClaimStateMachine;
 import org.masticweir.claims.ClaimWrite;
 import org.masticweir.error.Verdict;
 import org.masticweir.id.RequestId;
@@ -42,12 +42,12 @@
 
     /** One router's claim and what its caller was told. */
     private static final class Submission {
-        private final ClaimState claim;
+        private final ClaimStateMachine claim;
         private ClaimWrite write;
         private String told = "NONE";
         private boolean sent;
 
-        Submission(ClaimState claim) {
+        Submission(ClaimStateMachine claim) {
             this.claim = claim;
         }
     }
@@ -67,7 +67,7 @@
         ClaimRow row = ClaimRow.claimed("nonce-" + router, RouterId.of(router), nowMs());
         Submission s =
                 new Submission(
-                        ClaimState.of(
+                        ClaimStateMachine.of(
                                 KEY, row, ClaimPolicy.defaults(), nowMs(), nowMs() + DEADLINE_MS));
         submissions.put(router, s);
         if (sendFirst && !table.row(KEY).isPresent()) {
@@ -114,9 +114,9 @@
         for (ClaimAction action : actions) {
             if (action instanceof ClaimAction.Write write) {
                 s.write = write.write();
-            } else if (action instanceof ClaimAction.MayRun) {
+            } else if (action instanceof ClaimAction.Grant) {
                 run(s);
-            } else if (action instanceof ClaimAction.JoinOrStored join) {
+            } else if (action instanceof ClaimAction.ReportAlreadyClaimed join) {
                 s.told = join.row().verdict().name();
             } else if (action instanceof ClaimAction.Refuse refuse) {
                 s.told = refuse.error().verdict().name();
--- a/masticweir/src/test/java/org/masticweir/replay/IsolatedClaims.java
+++ b/masticweir/src/test/java/org/masticweir/replay/IsolatedClaims.java
@@ -43,7 +43,7 @@
     private final Map<String, Router> routers = new LinkedHashMap<>();
     private final Map<RequestId, Letter> letters = new TreeMap<>((a, b) -> compare(a, b));
     private final ClaimSweep sweep =
-            ClaimSweep.keeping(RETENTION_MS, PAGE_ROWS, ClaimPolicy.defaults());
+            ClaimSweep.withRetention(RETENTION_MS, PAGE_ROWS, ClaimPolicy.defaults());
     private final ObjectNode seen = JsonNodeFactory.instance.objectNode();
     private int withoutRow;
 
@@ -140,13 +140,13 @@
 
     private void decided(Trace.Event event, String router, RequestId id, ClaimDecision decision) {
         Router r = routers.get(router);
-        if (decision instanceof ClaimDecision.MayRun may) {
+        if (decision instanceof ClaimDecision.Granted may) {
             countRow(id, router);
             run(event, r, id);
             scheduler.at(
                     scheduler.clock().nowMs() + event.number("runs_ms"),
                     () -> ended(r, id, may.permit()));
-        } else if (decision instanceof ClaimDecision.NotRun no) {
+        } else if (decision instanceof ClaimDecision.Refused no) {
             if (withoutTable) {
                 run(event, r, id);
             }
@@ -181,7 +181,7 @@
 
     private void ended(Router r, RequestId id, ClaimPermit permit) {
         letters.get(id).ended = true;
-        r.claims.ended(permit, Verdict.COMPLETED, "result:sent");
+        r.claims.reportEnded(permit, Verdict.COMPLETED, "result:sent");
     }
 
     private void link(Trace.Event event, CutTable.Link now) {
@@ -254,7 +254,7 @@
 
     private void sweep() {
         ReadOutcome<List<Row>> page =
-                table.list(ClaimRow.TABLE, sweep.after(), sweep.pageRows(), 0).join();
+                table.list(ClaimRow.TABLE, sweep.nextPageAfter(), sweep.pageRows(), 0).join();
         sweep.onPage(((ReadOutcome.Done<List<Row>>) page).value(), scheduler.clock().wallMs())
                 .ifPresent(table::apply);
         scheduler.at(scheduler.clock().nowMs() + SWEEP_EVERY_MS, this::sweep);
--- a/masticweir/src/test/java/org/masticweir/retry/RetryTest.java
+++ b/masticweir/src/test/java/org/masticweir/retry/RetryTest.java
@@ -19,7 +19,7 @@
 import org.masticweir.id.TeamId;
 import org.masticweir.id.WorkClassId;
 import org.masticweir.retry.RetryDecision.GiveUp;
-import org.masticweir.retry.RetryDecision.SendAgain;
+import org.masticweir.retry.RetryDecision.Retry;
 
 /** Tests what is sent again, and how often at most. */
 class RetryTest {
@@ -62,7 +62,7 @@
         void whatIsSafeIsSentAgainAFewTimes() {
             for (boolean idempotent : List.of(true, false)) {
                 FailedAttempt f = failed(Verdict.NOT_RUN, idempotent, 1, 9_000);
-                assertInstanceOf(SendAgain.class, policy.decide(f, 0));
+                assertInstanceOf(Retry.class, policy.decide(f, 0));
             }
             RetryDecision third = policy.decide(failed(Verdict.NOT_RUN, true, 3, 9_000), 0);
             assertTrue(((GiveUp) third).retryAfterMs().isPresent());
@@ -86,7 +86,7 @@
             int retries = 0;
             for (int n = 0; n < 1_000; n++) {
                 TeamId team = TeamId.of("t" + n);
-                budget.firstSent(REPORTS, team, n);
+                budget.recordFirstSend(REPORTS, team, n);
                 retries += budget.tryRetry(REPORTS, team, n) ? 1 : 0;
             }
             assertTrue(retries <= 100, retries + " retries of 1000 first sends");
@@ -96,8 +96,8 @@
         void oneTeamCannotUseUpAnothersShare() {
             RetryBudget budget = RetryBudget.create();
             for (int n = 0; n < 1_000; n++) {
-                budget.firstSent(REPORTS, TEAM, 0);
-                budget.firstSent(REPORTS, TeamId.of("b"), 0);
+                budget.recordFirstSend(REPORTS, TEAM, 0);
+                budget.recordFirstSend(REPORTS, TeamId.of("b"), 0);
             }
             int ofA = 0;
             while (budget.tryRetry(REPORTS, TEAM, 0)) {
@@ -118,7 +118,7 @@
         int retries = 0;
         for (int gap : gapsMs) {
             now += gap;
-            budget.firstSent(REPORTS, TEAM, now);
+            budget.recordFirstSend(REPORTS, TEAM, now);
             for (int n = 0; n < 3 && budget.tryRetry(REPORTS, TEAM, now); n++) {
                 retries++;
             }
--- a/masticweir/src/test/java/org/masticweir/router/ShareExchangeTest.java
+++ b/masticweir/src/test/java/org/masticweir/router/ShareExchangeTest.java
@@ -62,7 +62,8 @@
 
     @Test
     void newsComeAsTheyWentAndStaySmall() throws IOException {
-        IntStream.range(0, 4_500).forEach(i -> shares.used(TeamId.of("team-" + i), 10_000, 0));
+        IntStream.range(0, 4_500)
+                .forEach(i -> shares.recordUsage(TeamId.of("team-" + i), 10_000, 0));
         ShareNews news = new ShareNews(shares.digest(0));
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             ShareNews.CODEC.encode(news, out);
--- a/masticweir/src/test/java/org/masticweir/serving/GatesTest.java
+++ b/masticweir/src/test/java/org/masticweir/serving/GatesTest.java
@@ -22,15 +22,15 @@
 import org.masticweir.id.RequestId;
 import org.masticweir.id.TeamId;
 import org.masticweir.id.WorkClassId;
-import org.masticweir.limits.Admission;
+import org.masticweir.limits.AdmissionController;
 import org.masticweir.limits.AdmissionDecision;
-import org.masticweir.limits.AdmissionDecision.Admit;
+import org.masticweir.limits.AdmissionDecision.Admitted;
 import org.masticweir.limits.AdmissionDecision.Refused;
+import org.masticweir.limits.AdmissionRequest;
 import org.masticweir.limits.Capacity;
 import org.masticweir.limits.CapacitySource;
-import org.masticweir.limits.RecoveryAdmission;
+import org.masticweir.limits.RecoveryAdmissionController;
 import org.masticweir.limits.RecoveryRequest;
-import org.masticweir.limits.WorkRequest;
 import org.masticweir.time.ManualClock;
 
 /** Tests how requests wait at the gates, without an I/O thread and not past their time. */
@@ -68,13 +68,14 @@
     final class NewRequests {
         private final AdmissionGate gate =
                 AdmissionGate.create(
-                        Admission.create(capacity, team -> 1, model -> 0, new SplittableRandom(1)),
+                        AdmissionController.create(
+                                capacity, team -> 1, model -> 0, new SplittableRandom(1)),
                         clock,
                         ticksAsked::incrementAndGet);
 
         private void offer(String id, WorkClass workClass) {
-            WorkRequest work =
-                    new WorkRequest(
+            AdmissionRequest work =
+                    new AdmissionRequest(
                             RequestId.of(id),
                             TeamId.of("advisers"),
                             workClass,
@@ -89,7 +90,7 @@
         @Test
         void withRoomTheCallerIsAnsweredWithoutAHandOver() {
             offer("r1", REPORTS);
-            assertInstanceOf(Admit.class, decided.get(0));
+            assertInstanceOf(Admitted.class, decided.get(0));
             assertTrue(ioThread.isEmpty());
             assertEquals(0, ticksAsked.get());
         }
@@ -113,7 +114,7 @@
             gate.tick();
             assertEquals(2, decided.size());
             runIo();
-            assertEquals(new Admit(RequestId.of("r2")), decided.get(2));
+            assertEquals(new Admitted(RequestId.of("r2")), decided.get(2));
             assertFalse(gate.anyWaiting());
         }
 
@@ -141,7 +142,7 @@
             runIo();
             assertTrue(decided.isEmpty());
             offer("r1", REPORTS);
-            assertInstanceOf(Admit.class, decided.get(0));
+            assertInstanceOf(Admitted.class, decided.get(0));
         }
     }
 
@@ -150,7 +151,9 @@
     final class Recoveries {
         private final RecoveryGate gate =
                 RecoveryGate.create(
-                        RecoveryAdmission.create(capacity), clock, ticksAsked::incrementAndGet);
+                        RecoveryAdmissionController.create(capacity),
+                        clock,
+                        ticksAsked::incrementAndGet);
 
         private RecoveryTurn turn() {
             return new RecoveryTurn(gate, ioThread::addLast, ticksAsked::decrementAndGet);
--- a/masticweir/src/test/java/org/masticweir/serving/RetryTurnTest.java
+++ b/masticweir/src/test/java/org/masticweir/serving/RetryTurnTest.java
@@ -27,7 +27,7 @@
 import org.masticweir.retry.RetryBudget;
 import org.masticweir.retry.RetryDecision;
 import org.masticweir.retry.RetryDecision.GiveUp;
-import org.masticweir.retry.RetryDecision.SendAgain;
+import org.masticweir.retry.RetryDecision.Retry;
 import org.masticweir.retry.RetryPolicy;
 import org.masticweir.routing.EngineView;
 import org.masticweir.routing.RouteChoice;
@@ -112,7 +112,7 @@
                 lost.resent(ACCEPTED_AT_MS);
                 lost.neverLeft();
             }
-            assertInstanceOf(SendAgain.class, refusedOnce(turnOf("refused", true), ACCEPTED_AT_MS));
+            assertInstanceOf(Retry.class, refusedOnce(turnOf("refused", true), ACCEPTED_AT_MS));
         }
     }
 
@@ -125,7 +125,7 @@
         @Test
         void pastTheBudgetTheRequestEndsAtOnce() {
             for (int i = 0; i < FLOOR; i++) {
-                assertInstanceOf(SendAgain.class, refusedOnce(turnOf("r" + i, true), 1_100));
+                assertInstanceOf(Retry.class, refusedOnce(turnOf("r" + i, true), 1_100));
             }
             GiveUp end = assertInstanceOf(GiveUp.class, refusedOnce(turnOf("last", true), 1_100));
             assertEquals(Verdict.NOT_RUN, end.verdict());
@@ -142,8 +142,8 @@
         @Test
         void thirdSendIsTheLast() {
             RetryTurn turn = turnOf("r1", true);
-            assertInstanceOf(SendAgain.class, refusedOnce(turn, 1_100));
-            assertInstanceOf(SendAgain.class, refusedOnce(turn, 1_200));
+            assertInstanceOf(Retry.class, refusedOnce(turn, 1_100));
+            assertInstanceOf(Retry.class, refusedOnce(turn, 1_200));
             assertInstanceOf(GiveUp.class, refusedOnce(turn, 1_300));
         }
     }
