--- a/masticweir/src/main/java/org/masticweir/permits/IssuerChoice.java
+++ b/masticweir/src/main/java/org/masticweir/permits/IssuerSelector.java
@@ -17,75 +17,78 @@
  * only the part of the rate that its routers make up, and a router that hears nobody the part of
  * one.
  */
-final class IssuerChoice {
+final class IssuerSelector {
     /** How long a router that is not heard of is reckoned with, in ms: longer than most cuts. */
-    private static final long RECKONED_MS = 60_000;
+    private static final long ROUTER_EXPIRY_MS = 60_000;
 
     /** Keys whose issuer is remembered. */
-    private static final int MOST_KEYS = 4_096;
+    private static final int MAX_CACHED_KEYS = 4_096;
 
     private final RouterId self;
     private final Set<RouterId> linked = new HashSet<>();
-    private final Map<RouterId, Long> lastHeardMs = new HashMap<>();
+    private final Map<RouterId, Long> lastSeenMs = new HashMap<>();
     private final Map<PermitKey, RouterId> issuers = new HashMap<>();
-    private long changedMs;
+    private long linksChangedMs;
 
-    IssuerChoice(RouterId self, long nowMs) {
+    IssuerSelector(RouterId self, long nowMs) {
         this.self = checkNotNull(self, "self");
-        changedMs = nowMs;
+        linksChangedMs = nowMs;
     }
 
     /** There is a router, linked or not. */
-    synchronized void learn(RouterId router, long nowMs) {
+    synchronized void addRouter(RouterId router, long nowMs) {
         if (!router.equals(self)) {
-            lastHeardMs.put(router, nowMs);
+            lastSeenMs.put(router, nowMs);
         }
     }
 
     synchronized void linkUp(RouterId router, long nowMs) {
-        learn(router, nowMs);
+        addRouter(router, nowMs);
         if (linked.add(router)) {
-            changed(nowMs);
+            onLinksChanged(nowMs);
         }
     }
 
     synchronized void linkDown(RouterId router, long nowMs) {
-        learn(router, nowMs);
+        addRouter(router, nowMs);
         if (linked.remove(router)) {
-            changed(nowMs);
+            onLinksChanged(nowMs);
         }
     }
 
-    private void changed(long nowMs) {
+    private void onLinksChanged(long nowMs) {
         issuers.clear();
-        changedMs = nowMs;
+        linksChangedMs = nowMs;
     }
 
     /** Returns when a link came up or was lost last: issuers may be others since then. */
-    synchronized long changedMs() {
-        return changedMs;
+    synchronized long linksChangedMs() {
+        return linksChangedMs;
     }
 
     /** Returns the router that issues the permits of {@code key}; may be this one. */
     synchronized RouterId issuer(PermitKey key) {
-        if (issuers.size() >= MOST_KEYS) {
+        if (issuers.size() >= MAX_CACHED_KEYS) {
             issuers.clear();
         }
-        return issuers.computeIfAbsent(key, this::choose);
+        return issuers.computeIfAbsent(key, this::select);
     }
 
-    private RouterId choose(PermitKey key) {
+    private RouterId select(PermitKey key) {
         Set<RouterId> candidates = new HashSet<>(linked);
         candidates.add(self);
         return Rendezvous.first(key.value(), candidates, 1).get(0);
     }
 
     /** Returns the part of a rate that this router's side may grant, above 0 and at most 1. */
-    synchronized double part(long nowMs) {
-        lastHeardMs
+    synchronized double reachableFraction(long nowMs) {
+        lastSeenMs
                 .entrySet()
-                .removeIf(e -> !linked.contains(e.getKey()) && nowMs - e.getValue() > RECKONED_MS);
-        double heard = linked.size() + 1;
-        return heard / (lastHeardMs.size() + 1);
+                .removeIf(
+                        e ->
+                                !linked.contains(e.getKey())
+                                        && nowMs - e.getValue() > ROUTER_EXPIRY_MS);
+        double reachable = linked.size() + 1;
+        return reachable / (lastSeenMs.size() + 1);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/permits/LimitUpdate.java
+++ b/masticweir/src/main/java/org/masticweir/permits/LimitUpdate.java
@@ -17,13 +17,13 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** Tells another router which limits servers have named, or named no more; immutable. */
-public record LimitUpdate(List<ServerLimit> words) implements PeerMessage {
-    private static final int WORD_FIELDS = 5;
-    private static final int MAX_WORDS = 16_384;
+public record LimitUpdate(List<ServerLimit> limits) implements PeerMessage {
+    private static final int LIMIT_FIELDS = 5;
+    private static final int MAX_LIMITS = 16_384;
     private static final int MAX_ID_BYTES = 256;
 
     public LimitUpdate {
-        words = ImmutableList.copyOf(words);
+        limits = ImmutableList.copyOf(limits);
     }
 
     /**
@@ -52,28 +52,28 @@
                 LimitUpdate.class,
                 1,
                 LimitUpdate::encode,
-                f -> new LimitUpdate(f.list(MAX_WORDS, LimitUpdate::word)));
+                f -> new LimitUpdate(f.list(MAX_LIMITS, LimitUpdate::decodeLimit)));
     }
 
-    private static void encode(LimitUpdate news, MessagePacker out) throws IOException {
-        out.packArrayHeader(news.words.size());
-        for (ServerLimit word : news.words) {
-            out.packArrayHeader(WORD_FIELDS);
-            out.packString(word.server().id().value()).packLong(word.server().startedMs());
-            out.packBoolean(word.perSecond().isPresent());
-            out.packDouble(word.perSecond().orElse(0)).packLong(word.ageMs());
+    private static void encode(LimitUpdate update, MessagePacker out) throws IOException {
+        out.packArrayHeader(update.limits.size());
+        for (ServerLimit limit : update.limits) {
+            out.packArrayHeader(LIMIT_FIELDS);
+            out.packString(limit.server().id().value()).packLong(limit.server().startedMs());
+            out.packBoolean(limit.perSecond().isPresent());
+            out.packDouble(limit.perSecond().orElse(0)).packLong(limit.ageMs());
         }
     }
 
-    private static ServerLimit word(MessageUnpacker in) throws IOException {
-        try (Fields f = Fields.open(in, WORD_FIELDS)) {
+    private static ServerLimit decodeLimit(MessageUnpacker in) throws IOException {
+        try (Fields f = Fields.open(in, LIMIT_FIELDS)) {
             ServerIncarnation server =
                     ServerIncarnation.of(EngineId.of(f.text(MAX_ID_BYTES)), f.int64());
-            boolean limited = f.bool();
+            boolean isLimited = f.bool();
             double perSecond = f.float64();
             return new ServerLimit(
                     server,
-                    limited ? OptionalDouble.of(perSecond) : OptionalDouble.empty(),
+                    isLimited ? OptionalDouble.of(perSecond) : OptionalDouble.empty(),
                     f.int64());
         }
     }
--- a/masticweir/src/main/java/org/masticweir/permits/PermitDecision.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitDecision.java
@@ -19,7 +19,7 @@
         return GRANTED;
     }
 
-    public static PermitDecision denied(long againMs) {
-        return new PermitDecision(false, Math.max(1, againMs));
+    public static PermitDecision denied(long retryAfterMs) {
+        return new PermitDecision(false, Math.max(1, retryAfterMs));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/permits/PermitIssuer.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitIssuer.java
@@ -18,71 +18,72 @@
  */
 final class PermitIssuer {
     /** Rates remembered; the one asked for longest ago is dropped first. */
-    private static final int MOST_RATES = 16_384;
+    private static final int MAX_RATES = 16_384;
 
     /** Asks for one permit that are enough to have each of them used. */
-    private static final double ASKS_A_PERMIT = 4;
+    private static final double REQUESTS_PER_PERMIT = 4;
 
     /** Tokens that there must be for an ask while more urgent ones wait: one is left to those. */
-    private static final double LEAVES_ONE = 2;
+    private static final double TOKENS_TO_LEAVE_ONE = 2;
 
     /** Longest time after which a router may ask again, in ms: its callers may be the only ones. */
-    private static final long MOST_AGAIN_MS = 2_000;
+    private static final long MAX_RETRY_AFTER_MS = 2_000;
 
     /** How long a router that asked counts as one that has callers for the rate, in ms. */
-    private static final long ASKER_MS = MOST_AGAIN_MS + 1_000;
+    private static final long REQUESTER_EXPIRY_MS = MAX_RETRY_AFTER_MS + 1_000;
 
-    private static final double MS_A_SECOND = 1_000;
+    private static final double MS_PER_SECOND = 1_000;
 
-    private final Map<PermitKey, Rate> rates =
+    private final Map<PermitKey, RateState> rates =
             new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<PermitKey, Rate> eldest) {
-                    return size() > MOST_RATES;
+                protected boolean removeEldestEntry(Map.Entry<PermitKey, RateState> eldest) {
+                    return size() > MAX_RATES;
                 }
             };
 
     /** One rate and the routers that ask for it, by when they last did. */
-    private static final class Rate {
+    private static final class RateState {
         private final TokenBucket bucket;
-        private final Map<RouterId, Long> askers = new LinkedHashMap<>(16, 0.75f, true);
+        private final Map<RouterId, Long> requesters = new LinkedHashMap<>(16, 0.75f, true);
 
         /** By urgency, until when an ask that was denied is waited for. */
-        private final NavigableMap<Integer, Long> waitingMs = new TreeMap<>();
+        private final NavigableMap<Integer, Long> waitingUntilMs = new TreeMap<>();
 
-        private long askedMs;
+        private long lastRequestMs;
 
-        Rate(SharedRate rate, long sinceMs) {
+        RateState(SharedRate rate, long sinceMs) {
             bucket = new TokenBucket(rate, sinceMs);
-            askedMs = sinceMs;
+            lastRequestMs = sinceMs;
         }
 
         /** Another router may have issued the permits before {@code sinceMs}. */
-        void issuedSince(long sinceMs) {
-            if (askedMs < sinceMs) {
+        void discardTokensBefore(long sinceMs) {
+            if (lastRequestMs < sinceMs) {
                 bucket.emptyAt(sinceMs);
             }
         }
 
-        void asked(RouterId asker, long nowMs) {
-            askedMs = nowMs;
-            askers.put(asker, nowMs);
-            Iterator<Long> oldest = askers.values().iterator();
-            while (nowMs - oldest.next() > ASKER_MS) {
+        void recordRequest(RouterId requester, long nowMs) {
+            lastRequestMs = nowMs;
+            requesters.put(requester, nowMs);
+            Iterator<Long> oldest = requesters.values().iterator();
+            while (nowMs - oldest.next() > REQUESTER_EXPIRY_MS) {
                 oldest.remove();
             }
         }
 
         /** Returns the tokens that there must be for an ask. */
-        double least(int urgency, SharedRate rate, long nowMs) {
-            boolean moreUrgentWait =
-                    waitingMs.headMap(urgency).values().stream().anyMatch(t -> t > nowMs);
-            return moreUrgentWait ? Math.min(LEAVES_ONE, rate.burst()) : 1;
+        double requiredTokens(int urgency, SharedRate rate, long nowMs) {
+            boolean hasMoreUrgentWaiting =
+                    waitingUntilMs.headMap(urgency).values().stream().anyMatch(t -> t > nowMs);
+            return hasMoreUrgentWaiting ? Math.min(TOKENS_TO_LEAVE_ONE, rate.burst()) : 1;
         }
 
         /** Returns the pause at which all askers together ask often enough, in ms. */
-        long pauseMs(SharedRate rate) {
-            return (long) (askers.size() * MS_A_SECOND / (ASKS_A_PERMIT * rate.perSecond()));
+        long requestIntervalMs(SharedRate rate) {
+            return (long)
+                    (requesters.size() * MS_PER_SECOND / (REQUESTS_PER_PERMIT * rate.perSecond()));
         }
     }
 
@@ -94,30 +95,36 @@
      * @param sinceMs when another router may have become or ceased to be the issuer at the latest:
      *     what that one has granted is not granted again
      */
-    synchronized PermitDecision ask(
-            RouterId asker, PermitKey key, int urgency, SharedRate rate, long sinceMs, long nowMs) {
-        Rate asked = rate(key, rate, sinceMs, nowMs);
-        asked.asked(asker, nowMs);
-        double least = asked.least(urgency, rate, nowMs);
-        if (asked.bucket.tryTake(least, nowMs)) {
+    synchronized PermitDecision request(
+            RouterId requester,
+            PermitKey key,
+            int urgency,
+            SharedRate rate,
+            long sinceMs,
+            long nowMs) {
+        RateState state = updatedState(key, rate, sinceMs, nowMs);
+        state.recordRequest(requester, nowMs);
+        double requiredTokens = state.requiredTokens(urgency, rate, nowMs);
+        if (state.bucket.tryTake(requiredTokens, nowMs)) {
             return PermitDecision.ofGrant();
         }
-        long nextMs = Math.max(asked.bucket.nextMs(least, nowMs), asked.pauseMs(rate));
-        long againMs = Math.min(MOST_AGAIN_MS, nextMs);
-        asked.waitingMs.put(urgency, nowMs + 2 * againMs);
-        return PermitDecision.denied(againMs);
+        long nextMs =
+                Math.max(state.bucket.waitMs(requiredTokens, nowMs), state.requestIntervalMs(rate));
+        long retryAfterMs = Math.min(MAX_RETRY_AFTER_MS, nextMs);
+        state.waitingUntilMs.put(urgency, nowMs + 2 * retryAfterMs);
+        return PermitDecision.denied(retryAfterMs);
     }
 
     /** Counts a use that nobody asked for. */
-    synchronized void used(PermitKey key, SharedRate rate, long sinceMs, long nowMs) {
-        rate(key, rate, sinceMs, nowMs).bucket.takeAnyway(nowMs);
+    synchronized void recordUsage(PermitKey key, SharedRate rate, long sinceMs, long nowMs) {
+        updatedState(key, rate, sinceMs, nowMs).bucket.forceTake(nowMs);
     }
 
-    private Rate rate(PermitKey key, SharedRate rate, long sinceMs, long nowMs) {
+    private RateState updatedState(PermitKey key, SharedRate rate, long sinceMs, long nowMs) {
         checkNotNull(rate, "rate");
-        Rate known = rates.computeIfAbsent(key, k -> new Rate(rate, sinceMs));
-        known.issuedSince(sinceMs);
-        known.bucket.changeTo(rate, nowMs);
-        return known;
+        RateState state = rates.computeIfAbsent(key, k -> new RateState(rate, sinceMs));
+        state.discardTokensBefore(sinceMs);
+        state.bucket.setRate(rate, nowMs);
+        return state;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/permits/PermitRequest.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitRequest.java
@@ -14,9 +14,9 @@
  *
  * @param urgency 0 for the first to be served
  * @param rate the whole rate, as the asker knows it
- * @param passedOn whether a router has passed it on, as it holds another one for the issuer
+ * @param isForwarded whether a router has passed it on, as it holds another one for the issuer
  */
-public record PermitRequest(PermitKey key, int urgency, SharedRate rate, boolean passedOn)
+public record PermitRequest(PermitKey key, int urgency, SharedRate rate, boolean isForwarded)
         implements PeerMessage {
     private static final int FIELDS = 5;
     static final int MAX_KEY_BYTES = 4 * PermitKey.MAX_CHARS;
@@ -32,10 +32,10 @@
                 type, PermitRequest.class, FIELDS, PermitRequest::encode, PermitRequest::decode);
     }
 
-    private static void encode(PermitRequest ask, MessagePacker out) throws IOException {
-        out.packString(ask.key.value()).packInt(ask.urgency);
-        out.packDouble(ask.rate.perSecond()).packDouble(ask.rate.burst());
-        out.packBoolean(ask.passedOn);
+    private static void encode(PermitRequest request, MessagePacker out) throws IOException {
+        out.packString(request.key.value()).packInt(request.urgency);
+        out.packDouble(request.rate.perSecond()).packDouble(request.rate.burst());
+        out.packBoolean(request.isForwarded);
     }
 
     private static PermitRequest decode(Fields f) throws IOException {
--- a/masticweir/src/main/java/org/masticweir/permits/RateUsageReport.java
+++ b/masticweir/src/main/java/org/masticweir/permits/RateUsageReport.java
@@ -32,9 +32,9 @@
                 RateUsageReport::decode);
     }
 
-    private static void encode(RateUsageReport use, MessagePacker out) throws IOException {
-        out.packString(use.key.value());
-        out.packDouble(use.rate.perSecond()).packDouble(use.rate.burst());
+    private static void encode(RateUsageReport report, MessagePacker out) throws IOException {
+        out.packString(report.key.value());
+        out.packDouble(report.rate.perSecond()).packDouble(report.rate.burst());
     }
 
     private static RateUsageReport decode(Fields f) throws IOException {
--- a/masticweir/src/main/java/org/masticweir/permits/ServerLimits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/ServerLimits.java
@@ -21,7 +21,7 @@
     private static final class Limit {
         private OptionalDouble perSecond = OptionalDouble.empty();
         private long asOfMs = Long.MIN_VALUE;
-        private long closedUntilMs = Long.MIN_VALUE;
+        private long blockedUntilMs = Long.MIN_VALUE;
     }
 
     private ServerLimits() {}
@@ -39,25 +39,25 @@
      * @param sentMs when the answered request left
      */
     public boolean recordAnswer(
-            ServerIncarnation server, AnnouncedLimit word, long sentMs, long nowMs) {
+            ServerIncarnation server, AnnouncedLimit announced, long sentMs, long nowMs) {
         Limit known = limits.get(server);
-        if (word.kind() == AnnouncedLimit.Kind.ANNOUNCED) {
-            return set(server, OptionalDouble.of(word.perSecond()), nowMs);
+        if (announced.kind() == AnnouncedLimit.Kind.ANNOUNCED) {
+            return set(server, OptionalDouble.of(announced.perSecond()), nowMs);
         }
-        boolean ends =
-                word.kind() == AnnouncedLimit.Kind.NONE
+        boolean isLifted =
+                announced.kind() == AnnouncedLimit.Kind.NONE
                         && known != null
                         && known.perSecond.isPresent()
                         && sentMs > known.asOfMs;
-        return ends && set(server, OptionalDouble.empty(), nowMs);
+        return isLifted && set(server, OptionalDouble.empty(), nowMs);
     }
 
     /** Takes the word of another router unless a newer one is known; returns whether it is news. */
-    boolean told(ServerLimit word, long nowMs) {
-        Limit known = limits.get(word.server());
-        long asOfMs = nowMs - word.ageMs();
+    boolean merge(ServerLimit reported, long nowMs) {
+        Limit known = limits.get(reported.server());
+        long asOfMs = nowMs - reported.ageMs();
         return (known == null || asOfMs > known.asOfMs)
-                && set(word.server(), word.perSecond(), asOfMs);
+                && set(reported.server(), reported.perSecond(), asOfMs);
     }
 
     private boolean set(ServerIncarnation server, OptionalDouble perSecond, long asOfMs) {
@@ -70,12 +70,12 @@
 
     /** Returns the requests a second that a server takes of all routers; empty if it named none. */
     public OptionalDouble perSecond(ServerIncarnation server) {
-        Limit limit = known(server);
+        Limit limit = find(server);
         return limit == null ? OptionalDouble.empty() : limit.perSecond;
     }
 
     /** Asked for each server before each send; mostly there are no limits at all. */
-    private Limit known(ServerIncarnation server) {
+    private Limit find(ServerIncarnation server) {
         return limits.isEmpty() ? null : limits.get(server);
     }
 
@@ -92,15 +92,15 @@
     public void blockUntil(ServerIncarnation server, long untilMs) {
         Limit limit = limits.get(server);
         if (limit != null) {
-            limit.closedUntilMs = untilMs;
+            limit.blockedUntilMs = untilMs;
         }
     }
 
     /** Returns how long no permit for a server is to be had, in ms; 0 if one may be. */
     public long blockedForMs(ServerIncarnation server, long nowMs) {
-        Limit limit = known(server);
-        boolean limited = limit != null && limit.perSecond.isPresent();
-        return limited && limit.closedUntilMs > nowMs ? limit.closedUntilMs - nowMs : 0;
+        Limit limit = find(server);
+        boolean isLimited = limit != null && limit.perSecond.isPresent();
+        return isLimited && limit.blockedUntilMs > nowMs ? limit.blockedUntilMs - nowMs : 0;
     }
 
     /** Forgets servers that are gone. */
@@ -114,7 +114,7 @@
     }
 
     /** Returns what a router is told that knows nothing. */
-    ImmutableList<ServerLimit> all(long nowMs) {
+    ImmutableList<ServerLimit> snapshot(long nowMs) {
         return limits.entrySet().stream()
                 .map(
                         e ->
--- a/masticweir/src/main/java/org/masticweir/permits/SharedLimits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/SharedLimits.java
@@ -27,27 +27,27 @@
     private final ServerLimits limits;
     private final SharedPermits permits;
     private final Clock clock;
-    private final Consumer<LimitUpdate> tell;
-    private final Counter named;
+    private final Consumer<LimitUpdate> broadcast;
+    private final Counter changes;
     private final Counter unreadable;
     private final Counter limited;
 
     /**
      * Creates the limits of one router.
      *
-     * @param tell tells all other routers
+     * @param broadcast tells all other routers
      */
     public SharedLimits(
             ServerLimits limits,
             SharedPermits permits,
             Clock clock,
             MetricRegistry metrics,
-            Consumer<LimitUpdate> tell) {
+            Consumer<LimitUpdate> broadcast) {
         this.limits = checkNotNull(limits, "limits");
         this.permits = checkNotNull(permits, "permits");
         this.clock = checkNotNull(clock, "clock");
-        this.tell = checkNotNull(tell, "tell");
-        named = metrics.counter(MetricName.of("server_limits_changed_total"));
+        this.broadcast = checkNotNull(broadcast, "broadcast");
+        changes = metrics.counter(MetricName.of("server_limits_changed_total"));
         limited = metrics.counter(MetricName.of("servers_limited"));
         unreadable = metrics.counter(MetricName.of("server_limits_unreadable_total"));
     }
@@ -59,35 +59,35 @@
      * @param sentMs when that request left
      */
     public void handleAnswer(
-            ServerIncarnation server, AnnouncedLimit word, String request, long sentMs) {
+            ServerIncarnation server, AnnouncedLimit announced, String request, long sentMs) {
         long now = clock.nowMs();
-        if (word.kind() == AnnouncedLimit.Kind.UNREADABLE) {
+        if (announced.kind() == AnnouncedLimit.Kind.UNREADABLE) {
             unreadable.inc();
             LOG.info("limits: {} names one that cannot be read, answer to {}", server, request);
             return;
         }
         OptionalDouble before = limits.perSecond(server);
-        if (limits.recordAnswer(server, word, sentMs, now)) {
+        if (limits.recordAnswer(server, announced, sentMs, now)) {
             OptionalDouble after = limits.perSecond(server);
-            changed(server, before, after, "answer to " + request);
-            tell.accept(new LimitUpdate(ImmutableList.of(new ServerLimit(server, after, 0))));
+            recordChange(server, before, after, "answer to " + request);
+            broadcast.accept(new LimitUpdate(ImmutableList.of(new ServerLimit(server, after, 0))));
         }
     }
 
     /** Another router told what it knows. */
-    public void handleUpdate(RouterId peer, LimitUpdate news) {
+    public void handleUpdate(RouterId peer, LimitUpdate update) {
         long now = clock.nowMs();
-        for (ServerLimit word : news.words()) {
-            OptionalDouble before = limits.perSecond(word.server());
-            if (limits.told(word, now)) {
-                changed(word.server(), before, word.perSecond(), "word of " + peer);
+        for (ServerLimit limit : update.limits()) {
+            OptionalDouble before = limits.perSecond(limit.server());
+            if (limits.merge(limit, now)) {
+                recordChange(limit.server(), before, limit.perSecond(), "word of " + peer);
             }
         }
     }
 
     /** Returns all that a router is told which knows nothing; empty if there is nothing to tell. */
     public Optional<LimitUpdate> snapshot() {
-        ImmutableList<ServerLimit> all = limits.all(clock.nowMs());
+        ImmutableList<ServerLimit> all = limits.snapshot(clock.nowMs());
         return all.isEmpty() ? Optional.empty() : Optional.of(new LimitUpdate(all));
     }
 
@@ -96,7 +96,7 @@
         limits.perSecond(server)
                 .ifPresent(
                         perSecond ->
-                                permits.use(
+                                permits.reportUsage(
                                         PermitKey.ofServer(server),
                                         SharedRate.ofServer(perSecond)));
     }
@@ -108,10 +108,10 @@
      * @param urgency 0 for the first to be served
      */
     public void requestPermit(
-            ServerIncarnation server, int urgency, Consumer<PermitDecision> then) {
+            ServerIncarnation server, int urgency, Consumer<PermitDecision> callback) {
         OptionalDouble perSecond = limits.perSecond(server);
         if (perSecond.isEmpty()) {
-            then.accept(PermitDecision.ofGrant());
+            callback.accept(PermitDecision.ofGrant());
             return;
         }
         permits.request(
@@ -122,7 +122,7 @@
                     if (!decision.isGranted()) {
                         limits.blockUntil(server, clock.nowMs() + decision.retryAfterMs());
                     }
-                    then.accept(decision);
+                    callback.accept(decision);
                 });
     }
 
@@ -140,17 +140,17 @@
     /** Forgets servers that are gone. */
     public void retain(Set<ServerIncarnation> present) {
         limits.retain(present);
-        count();
+        updateCount();
     }
 
-    private void count() {
+    private void updateCount() {
         limited.inc(limits.count() - limited.getCount());
     }
 
-    private void changed(
+    private void recordChange(
             ServerIncarnation server, OptionalDouble before, OptionalDouble after, String source) {
-        named.inc();
-        count();
+        changes.inc();
+        updateCount();
         LOG.info(
                 "limits: {} takes {}, {} before, {}",
                 server,
--- a/masticweir/src/main/java/org/masticweir/permits/SharedPermits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/SharedPermits.java
@@ -26,19 +26,19 @@
     private static final Logger LOG = LogManager.getLogger(SharedPermits.class);
 
     /** Time for an issuer's answer, in ms: many times a way, and short beside a goal. */
-    private static final long ASK_MS = 100;
+    private static final long REQUEST_TIMEOUT_MS = 100;
 
     /** Time for the answer to an ask that is passed on, in ms. */
-    private static final long PASSED_ON_MS = 60;
+    private static final long FORWARD_TIMEOUT_MS = 60;
 
     /** Pause before an issuer that did not answer is asked again, in ms. */
-    private static final long UNANSWERED_AGAIN_MS = 250;
+    private static final long UNANSWERED_RETRY_MS = 250;
 
     private final RouterId self;
     private final PeerSender links;
     private final Clock clock;
     private final Executor traffic;
-    private final IssuerChoice choice;
+    private final IssuerSelector issuers;
     private final PermitIssuer issuer = new PermitIssuer();
     private final Counter issued;
     private final Counter denied;
@@ -59,7 +59,7 @@
         this.links = checkNotNull(links, "links");
         this.clock = checkNotNull(clock, "clock");
         this.traffic = checkNotNull(traffic, "traffic");
-        choice = new IssuerChoice(self, clock.nowMs());
+        issuers = new IssuerSelector(self, clock.nowMs());
         issued = metrics.counter(MetricName.of("permits_issued_total"));
         denied = metrics.counter(MetricName.of("permits_denied_total"));
         unanswered = metrics.counter(MetricName.of("permit_asks_unanswered_total"));
@@ -67,91 +67,101 @@
 
     /** There is a router; it may issue permits once it is linked. */
     public void addRouter(RouterId router) {
-        choice.learn(router, clock.nowMs());
+        issuers.addRouter(router, clock.nowMs());
     }
 
     public void linkUp(RouterId router) {
-        choice.linkUp(router, clock.nowMs());
+        issuers.linkUp(router, clock.nowMs());
     }
 
     public void linkDown(RouterId router) {
-        choice.linkDown(router, clock.nowMs());
+        issuers.linkDown(router, clock.nowMs());
     }
 
     /**
      * Asks for one use of a rate; called on the traffic thread.
      *
      * @param urgency 0 for the first to be served
-     * @param then hears the decision on the traffic thread, at once if this router issues it
+     * @param callback hears the decision on the traffic thread, at once if this router issues it
      */
     public void request(
-            PermitKey key, int urgency, SharedRate rate, Consumer<PermitDecision> then) {
-        RouterId from = choice.issuer(key);
-        PermitRequest ask = new PermitRequest(key, urgency, rate, false);
-        if (from.equals(self)) {
-            then.accept(issue(self, ask));
+            PermitKey key, int urgency, SharedRate rate, Consumer<PermitDecision> callback) {
+        RouterId issuerId = issuers.issuer(key);
+        PermitRequest request = new PermitRequest(key, urgency, rate, false);
+        if (issuerId.equals(self)) {
+            callback.accept(issue(self, request));
             return;
         }
-        links.ask(from, ask, ASK_MS)
+        links.ask(issuerId, request, REQUEST_TIMEOUT_MS)
                 .whenComplete(
                         (reply, error) -> {
-                            PermitDecision decision = decision(from, key, reply, error);
-                            traffic.execute(() -> then.accept(decision));
+                            PermitDecision decision = decision(issuerId, key, reply, error);
+                            traffic.execute(() -> callback.accept(decision));
                         });
     }
 
     /** Answers another router. */
-    public void handleRequest(RouterId asker, PermitRequest ask, Reply reply) {
-        RouterId from = choice.issuer(ask.key());
-        if (ask.passedOn() || from.equals(self)) {
-            reply.send(new PermitReply(issue(asker, ask)));
+    public void handleRequest(RouterId requester, PermitRequest request, Reply reply) {
+        RouterId issuerId = issuers.issuer(request.key());
+        if (request.isForwarded() || issuerId.equals(self)) {
+            reply.send(new PermitReply(issue(requester, request)));
             return;
         }
-        LOG.debug("permits: {} asks for {}, which {} issues", asker, ask.key(), from);
-        links.ask(from, new PermitRequest(ask.key(), ask.urgency(), ask.rate(), true), PASSED_ON_MS)
+        LOG.debug("permits: {} asks for {}, which {} issues", requester, request.key(), issuerId);
+        links.ask(
+                        issuerId,
+                        new PermitRequest(request.key(), request.urgency(), request.rate(), true),
+                        FORWARD_TIMEOUT_MS)
                 .whenComplete(
                         (answer, error) ->
                                 reply.send(
-                                        new PermitReply(decision(from, ask.key(), answer, error))));
+                                        new PermitReply(
+                                                decision(issuerId, request.key(), answer, error))));
     }
 
     /** Counts a use that could not wait for a permit: it leaves less to those who ask. */
-    void use(PermitKey key, SharedRate rate) {
-        RouterId to = choice.issuer(key);
-        if (to.equals(self)) {
+    void reportUsage(PermitKey key, SharedRate rate) {
+        RouterId issuerId = issuers.issuer(key);
+        if (issuerId.equals(self)) {
             handleUsage(new RateUsageReport(key, rate));
         } else {
-            links.send(to, new RateUsageReport(key, rate));
+            links.send(issuerId, new RateUsageReport(key, rate));
         }
     }
 
     /** Takes the word of a use, from this router or another. */
-    public void handleUsage(RateUsageReport use) {
+    public void handleUsage(RateUsageReport report) {
         long now = clock.nowMs();
-        SharedRate part = use.rate().part(choice.part(now));
-        issuer.used(use.key(), part, choice.changedMs(), now);
+        SharedRate localRate = report.rate().scaledBy(issuers.reachableFraction(now));
+        issuer.recordUsage(report.key(), localRate, issuers.linksChangedMs(), now);
     }
 
-    private PermitDecision issue(RouterId asker, PermitRequest ask) {
+    private PermitDecision issue(RouterId requester, PermitRequest request) {
         long now = clock.nowMs();
-        SharedRate part = ask.rate().part(choice.part(now));
+        SharedRate localRate = request.rate().scaledBy(issuers.reachableFraction(now));
         PermitDecision decision =
-                issuer.ask(asker, ask.key(), ask.urgency(), part, choice.changedMs(), now);
+                issuer.request(
+                        requester,
+                        request.key(),
+                        request.urgency(),
+                        localRate,
+                        issuers.linksChangedMs(),
+                        now);
         (decision.isGranted() ? issued : denied).inc();
         return decision;
     }
 
     private PermitDecision decision(
-            RouterId from, PermitKey key, PeerMessage reply, Throwable error) {
+            RouterId issuerId, PermitKey key, PeerMessage reply, Throwable error) {
         if (error == null && reply instanceof PermitReply answer) {
             return answer.decision();
         }
         unanswered.inc();
         LOG.info(
                 "permits: {} does not answer for {}, {}",
-                from,
+                issuerId,
                 key,
                 error == null ? "its reply is not understood" : error.getMessage());
-        return PermitDecision.denied(UNANSWERED_AGAIN_MS);
+        return PermitDecision.denied(UNANSWERED_RETRY_MS);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/quarantine/CrashRecord.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/CrashRecord.java
@@ -27,12 +27,15 @@
 public record CrashRecord(
         ContentId content, ImmutableList<Loss> losses, ImmutableSet<ServerIncarnation> withdrawn) {
     /** Lives kept in each list; more than are ever counted. */
-    public static final int MOST_LIVES = 32;
+    public static final int MAX_INCARNATIONS = 32;
 
     public CrashRecord {
         checkNotNull(content, "content");
-        checkArgument(losses.size() <= MOST_LIVES, "%s losses", losses.size());
-        checkArgument(withdrawn.size() <= MOST_LIVES, "%s withdrawn lives", withdrawn.size());
+        checkArgument(losses.size() <= MAX_INCARNATIONS, "%s losses", losses.size());
+        checkArgument(
+                withdrawn.size() <= MAX_INCARNATIONS,
+                "%s withdrawn incarnations",
+                withdrawn.size());
     }
 
     /** Returns the record of a content under which no server has ended. */
@@ -41,7 +44,7 @@
     }
 
     /** Returns the losses that are held against the content, in their order. */
-    public ImmutableList<Loss> held() {
+    public ImmutableList<Loss> countedLosses() {
         return losses.stream()
                 .filter(l -> !withdrawn.contains(l.incarnation()))
                 .sorted(Comparator.comparingLong(Loss::endedMs))
@@ -55,23 +58,23 @@
      * all of those that had begun to run it end at one moment. Of servers to which it was sent
      * before the first of them ended only one counts, as they may have had another cause in common.
      */
-    public int ends() {
-        int ends = 0;
+    public int crashCount() {
+        int crashes = 0;
         Optional<Loss> last = Optional.empty();
-        for (Loss loss : held()) {
-            if (last.isEmpty() || loss.follows(last.get())) {
-                ends++;
+        for (Loss loss : countedLosses()) {
+            if (last.isEmpty() || loss.isIndependentOf(last.get())) {
+                crashes++;
                 last = Optional.of(loss);
             }
         }
-        return ends;
+        return crashes;
     }
 
     boolean isBlank() {
         return losses.isEmpty();
     }
 
-    Optional<Loss> last() {
+    Optional<Loss> lastLoss() {
         return losses.stream().max(Comparator.comparingLong(Loss::endedMs));
     }
 
@@ -79,8 +82,8 @@
         return new CrashRecord(content, union(losses, ImmutableList.of(loss)), withdrawn);
     }
 
-    CrashRecord withdraw(ServerIncarnation life) {
-        return new CrashRecord(content, losses, union(withdrawn, ImmutableSet.of(life)));
+    CrashRecord withdraw(ServerIncarnation incarnation) {
+        return new CrashRecord(content, losses, union(withdrawn, ImmutableSet.of(incarnation)));
     }
 
     CrashRecord withdrawAll() {
@@ -103,16 +106,18 @@
     }
 
     private static ImmutableList<Loss> union(List<Loss> some, List<Loss> others) {
-        Map<ServerIncarnation, Loss> byLife = new LinkedHashMap<>();
-        some.forEach(l -> byLife.put(l.incarnation(), l));
-        others.forEach(l -> byLife.merge(l.incarnation(), l, Loss::or));
-        return byLife.values().stream().limit(MOST_LIVES).collect(ImmutableList.toImmutableList());
+        Map<ServerIncarnation, Loss> byIncarnation = new LinkedHashMap<>();
+        some.forEach(l -> byIncarnation.put(l.incarnation(), l));
+        others.forEach(l -> byIncarnation.merge(l.incarnation(), l, Loss::laterOf));
+        return byIncarnation.values().stream()
+                .limit(MAX_INCARNATIONS)
+                .collect(ImmutableList.toImmutableList());
     }
 
     private static ImmutableSet<ServerIncarnation> union(
             Set<ServerIncarnation> some, Set<ServerIncarnation> others) {
         return Sets.union(some, others).stream()
-                .limit(MOST_LIVES)
+                .limit(MAX_INCARNATIONS)
                 .collect(ImmutableSet.toImmutableSet());
     }
 }
--- a/masticweir/src/main/java/org/masticweir/quarantine/CrashUpdate.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/CrashUpdate.java
@@ -12,15 +12,15 @@
 import org.masticweir.peer.FieldsCodec;
 import org.masticweir.peer.MessageCodec;
 import org.masticweir.peer.PeerMessage;
-import org.masticweir.quarantine.Quarantine.News;
+import org.masticweir.quarantine.Quarantine.ContentUpdate;
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
 /** Tells another router which servers ended under which contents; immutable. */
-public record CrashUpdate(List<News> contents) implements PeerMessage {
+public record CrashUpdate(List<ContentUpdate> contents) implements PeerMessage {
     private static final int CONTENT_FIELDS = 4;
     private static final int LOSS_FIELDS = 4;
-    private static final int LIFE_FIELDS = 2;
+    private static final int INCARNATION_FIELDS = 2;
     private static final int MAX_CONTENTS = 16_384;
     private static final int MAX_ID_BYTES = 256;
 
@@ -35,61 +35,65 @@
                 CrashUpdate.class,
                 1,
                 CrashUpdate::encode,
-                f -> new CrashUpdate(f.list(MAX_CONTENTS, CrashUpdate::content)));
+                f -> new CrashUpdate(f.list(MAX_CONTENTS, CrashUpdate::decodeContent)));
     }
 
-    private static void encode(CrashUpdate news, MessagePacker out) throws IOException {
-        out.packArrayHeader(news.contents.size());
-        for (News content : news.contents) {
+    private static void encode(CrashUpdate update, MessagePacker out) throws IOException {
+        out.packArrayHeader(update.contents.size());
+        for (ContentUpdate content : update.contents) {
             CrashRecord record = content.record();
             out.packArrayHeader(CONTENT_FIELDS).packString(record.content().value());
             out.packArrayHeader(record.losses().size());
             for (Loss loss : record.losses()) {
-                encodeLife(loss.incarnation(), out.packArrayHeader(LOSS_FIELDS));
+                encodeIncarnation(loss.incarnation(), out.packArrayHeader(LOSS_FIELDS));
                 out.packLong(loss.sentMs()).packLong(loss.endedMs());
             }
-            encodeLives(record.withdrawn(), out);
-            out.packBoolean(content.onTrial());
+            encodeIncarnations(record.withdrawn(), out);
+            out.packBoolean(content.isOnTrial());
         }
     }
 
-    private static void encodeLives(Set<ServerIncarnation> lives, MessagePacker out)
+    private static void encodeIncarnations(Set<ServerIncarnation> incarnations, MessagePacker out)
             throws IOException {
-        out.packArrayHeader(lives.size());
-        for (ServerIncarnation life : lives) {
-            encodeLife(life, out.packArrayHeader(LIFE_FIELDS));
+        out.packArrayHeader(incarnations.size());
+        for (ServerIncarnation incarnation : incarnations) {
+            encodeIncarnation(incarnation, out.packArrayHeader(INCARNATION_FIELDS));
         }
     }
 
-    private static void encodeLife(ServerIncarnation life, MessagePacker out) throws IOException {
-        out.packString(life.id().value()).packLong(life.startedMs());
+    private static void encodeIncarnation(ServerIncarnation incarnation, MessagePacker out)
+            throws IOException {
+        out.packString(incarnation.id().value()).packLong(incarnation.startedMs());
     }
 
-    private static News content(MessageUnpacker in) throws IOException {
+    private static ContentUpdate decodeContent(MessageUnpacker in) throws IOException {
         try (Fields f = Fields.open(in, CONTENT_FIELDS)) {
             CrashRecord record =
                     new CrashRecord(
                             ContentId.of(f.text(MAX_ID_BYTES)),
-                            f.list(CrashRecord.MOST_LIVES, CrashUpdate::loss),
+                            f.list(CrashRecord.MAX_INCARNATIONS, CrashUpdate::decodeLoss),
                             ImmutableSet.copyOf(
-                                    f.list(CrashRecord.MOST_LIVES, CrashUpdate::listedLife)));
-            return new News(record, f.bool());
+                                    f.list(
+                                            CrashRecord.MAX_INCARNATIONS,
+                                            CrashUpdate::decodeListedIncarnation)));
+            return new ContentUpdate(record, f.bool());
         }
     }
 
-    private static Loss loss(MessageUnpacker in) throws IOException {
+    private static Loss decodeLoss(MessageUnpacker in) throws IOException {
         try (Fields f = Fields.open(in, LOSS_FIELDS)) {
-            return new Loss(life(f), f.int64(), f.int64());
+            return new Loss(decodeIncarnation(f), f.int64(), f.int64());
         }
     }
 
-    private static ServerIncarnation listedLife(MessageUnpacker in) throws IOException {
-        try (Fields f = Fields.open(in, LIFE_FIELDS)) {
-            return life(f);
+    private static ServerIncarnation decodeListedIncarnation(MessageUnpacker in)
+            throws IOException {
+        try (Fields f = Fields.open(in, INCARNATION_FIELDS)) {
+            return decodeIncarnation(f);
         }
     }
 
-    private static ServerIncarnation life(Fields f) throws IOException {
+    private static ServerIncarnation decodeIncarnation(Fields f) throws IOException {
         return ServerIncarnation.of(EngineId.of(f.text(MAX_ID_BYTES)), f.int64());
     }
 }
--- a/masticweir/src/main/java/org/masticweir/quarantine/Loss.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/Loss.java
@@ -13,13 +13,13 @@
  */
 public record Loss(ServerIncarnation incarnation, long sentMs, long endedMs) {
     /** How far two routers may be apart on one moment that they told each other, in ms. */
-    private static final long JITTER_MS = 100;
+    private static final long CLOCK_TOLERANCE_MS = 100;
 
     /** Servers that end no further apart may have one cause, in ms. */
-    private static final long TOGETHER_MS = 250;
+    private static final long COMMON_CAUSE_MS = 250;
 
     /** A server that was reached later than this before its end has hardly begun, in ms. */
-    private static final long SHORT_MS = 50;
+    private static final long MIN_RUN_MS = 50;
 
     public Loss {
         checkNotNull(incarnation, "incarnation");
@@ -32,15 +32,15 @@
      * <p>Failure guarded against: a domain loses its servers within some milliseconds, and a
      * request that one of them broke off is sent to the next just before that ends too.
      */
-    boolean follows(Loss earlier) {
-        boolean sentAfter = sentMs >= earlier.endedMs - JITTER_MS;
-        boolean apart = endedMs - earlier.endedMs > TOGETHER_MS;
-        return sentAfter && (apart || endedMs - sentMs >= SHORT_MS);
+    boolean isIndependentOf(Loss earlier) {
+        boolean isSentAfter = sentMs >= earlier.endedMs - CLOCK_TOLERANCE_MS;
+        boolean isSeparate = endedMs - earlier.endedMs > COMMON_CAUSE_MS;
+        return isSentAfter && (isSeparate || endedMs - sentMs >= MIN_RUN_MS);
     }
 
     /** Returns which of two losses of one life is kept: the one whose request came last. */
-    Loss or(Loss other) {
-        return other.sentMs > sentMs + JITTER_MS ? other : this;
+    Loss laterOf(Loss other) {
+        return other.sentMs > sentMs + CLOCK_TOLERANCE_MS ? other : this;
     }
 
     /** Returns the same loss by a clock that is {@code ms} ahead. */
--- a/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
@@ -23,8 +23,8 @@
  * so each of them would end as many servers as its route allows, with all that they run. Here the
  * evidence outlives the submission. After {@link #LIMIT} servers its content is held.
  *
- * <p>Whoever shares it takes what {@link #takeNews} returns after each command and tells the other
- * routers.
+ * <p>Whoever shares it takes what {@link #drainUpdates} returns after each command and tells the
+ * other routers.
  */
 public final class Quarantine {
     /** How often a content may end a server. */
@@ -34,7 +34,7 @@
      * Ends from which on a content goes where least runs. Most of those with one end were only
      * beside the request that caused it, and are served best where any other goes.
      */
-    static final int APART_FROM = 2;
+    static final int LEAST_LOADED_FROM = 2;
 
     /**
      * Time from a run's first event within which the end of its server speaks against it, in ms. A
@@ -49,13 +49,13 @@
     private static final int HOLD_GROWTH = 8;
 
     /** How long a trial of a router that is not heard of any more holds up the others, in ms. */
-    static final long TRIAL_LOST_MS = 10_000;
+    static final long PEER_TRIAL_EXPIRY_MS = 10_000;
 
     /** How long evidence below the limit is kept after the last of it, in ms. */
-    static final long SUSPECT_MS = 600_000;
+    static final long SUSPECT_EXPIRY_MS = 600_000;
 
     /** Contents kept; some hundred bytes each. */
-    static final int MOST_CONTENTS = 4_096;
+    static final int MAX_CONTENTS = 4_096;
 
     private final RouterId self;
     private final long longestHoldMs;
@@ -63,13 +63,13 @@
     /** Least recently changed first. */
     private final Map<ContentId, Entry> entries = new LinkedHashMap<>();
 
-    private final Set<ContentId> news = new LinkedHashSet<>();
+    private final Set<ContentId> pendingUpdates = new LinkedHashSet<>();
 
     /** What is known of one content. */
     private static final class Entry {
         private final Map<RouterId, Long> trialsUntilMs = new HashMap<>();
         private CrashRecord record;
-        private long sinceMs;
+        private long createdMs;
         private int ownTrials;
         private int inquiries;
 
@@ -78,12 +78,12 @@
         }
 
         /** Returns when the last evidence was had. */
-        long evidenceMs() {
-            return record.last().map(Loss::endedMs).orElse(sinceMs);
+        long lastEvidenceMs() {
+            return record.lastLoss().map(Loss::endedMs).orElse(createdMs);
         }
 
-        int count() {
-            return record.ends();
+        int crashCount() {
+            return record.crashCount();
         }
     }
 
@@ -99,10 +99,10 @@
      * What other routers are told of one content.
      *
      * @param record with times as they lie from the moment of telling, which is 0
-     * @param onTrial whether the teller has a request with it on trial
+     * @param isOnTrial whether the teller has a request with it on trial
      */
-    public record News(CrashRecord record, boolean onTrial) {
-        public News {
+    public record ContentUpdate(CrashRecord record, boolean isOnTrial) {
+        public ContentUpdate {
             checkNotNull(record, "record");
         }
     }
@@ -129,19 +129,19 @@
     }
 
     /** Returns whether a request with {@code content} may be sent now. */
-    public SendRule rule(ContentId content, long nowMs) {
-        Entry entry = current(content, nowMs);
+    public SendRule sendRule(ContentId content, long nowMs) {
+        Entry entry = findUnexpired(content, nowMs);
         if (entry == null) {
             return SendRule.ANY_SERVER;
         }
-        int count = entry.count();
-        if (count >= LIMIT && nowMs < entry.evidenceMs() + holdMs(count)) {
+        int count = entry.crashCount();
+        if (count >= LIMIT && nowMs < entry.lastEvidenceMs() + holdMs(count)) {
             return SendRule.REJECT;
         }
         if (entry.inquiries > 0 || (count > 0 && isOnTrial(entry, nowMs))) {
             return SendRule.WAIT;
         }
-        return count >= APART_FROM ? SendRule.LEAST_LOADED : SendRule.ANY_SERVER;
+        return count >= LEAST_LOADED_FROM ? SendRule.LEAST_LOADED : SendRule.ANY_SERVER;
     }
 
     /**
@@ -150,43 +150,45 @@
      * <p>It is tried again in the end, so that sound work which was unlucky is not refused for
      * good, and less often each time.
      */
-    private long holdMs(int ends) {
+    private long holdMs(int crashes) {
         long holdMs = FIRST_HOLD_MS;
-        for (int i = LIMIT; i < ends && holdMs < longestHoldMs; i++) {
+        for (int i = LIMIT; i < crashes && holdMs < longestHoldMs; i++) {
             holdMs *= HOLD_GROWTH;
         }
         return Math.min(holdMs, longestHoldMs);
     }
 
     /** Returns what is held against {@code content}. */
-    public ImmutableList<Loss> held(ContentId content) {
+    public ImmutableList<Loss> countedLosses(ContentId content) {
         Entry entry = entries.get(content);
-        return entry == null ? ImmutableList.of() : entry.record.held();
+        return entry == null ? ImmutableList.of() : entry.record.countedLosses();
     }
 
     /** Returns how long a quarantined content is held from now on, in ms. */
-    public long holdLeftMs(ContentId content, long nowMs) {
+    public long remainingHoldMs(ContentId content, long nowMs) {
         Entry entry = entries.get(content);
-        return entry == null ? 0 : Math.max(0, entry.evidenceMs() + holdMs(entry.count()) - nowMs);
+        return entry == null
+                ? 0
+                : Math.max(0, entry.lastEvidenceMs() + holdMs(entry.crashCount()) - nowMs);
     }
 
     /**
      * This router sends a request with {@code content}; returns whether it is on trial now, until
-     * {@link #trialEnded}.
+     * {@link #endTrial}.
      */
-    public boolean trialBegins(ContentId content, long nowMs) {
-        Entry entry = current(content, nowMs);
-        if (entry == null || entry.count() == 0) {
+    public boolean beginTrial(ContentId content, long nowMs) {
+        Entry entry = findUnexpired(content, nowMs);
+        if (entry == null || entry.crashCount() == 0) {
             return false;
         }
         entry.ownTrials++;
         entry.trialsUntilMs.put(self, Long.MAX_VALUE);
-        news.add(content);
+        pendingUpdates.add(content);
         return true;
     }
 
-    /** A send that {@link #trialBegins} put on trial is over. */
-    public void trialEnded(ContentId content) {
+    /** A send that {@link #beginTrial} put on trial is over. */
+    public void endTrial(ContentId content) {
         Entry entry = entries.get(content);
         if (entry == null || entry.ownTrials == 0) {
             return;
@@ -194,73 +196,76 @@
         entry.ownTrials--;
         if (entry.ownTrials == 0) {
             entry.trialsUntilMs.remove(self);
-            news.add(content);
+            pendingUpdates.add(content);
         }
     }
 
-    /** A loss under {@code content} is looked into, and waited for until {@link #inquiryEnded}. */
-    public void inquiryBegins(ContentId content, long nowMs) {
-        entry(content, nowMs).inquiries++;
+    /** A loss under {@code content} is looked into, and waited for until {@link #endInquiry}. */
+    public void beginInquiry(ContentId content, long nowMs) {
+        getOrCreate(content, nowMs).inquiries++;
     }
 
     /** The cause of a loss was found. */
-    public void inquiryEnded(ContentId content) {
+    public void endInquiry(ContentId content) {
         Entry entry = entries.get(content);
         if (entry != null) {
             entry.inquiries = Math.max(0, entry.inquiries - 1);
-            dropIfBlank(content, entry);
+            removeIfBlank(content, entry);
         }
     }
 
     /** A server ended that had begun to run a request with {@code content}. */
-    public Change ended(ContentId content, Loss loss, long nowMs) {
-        Entry entry = entry(content, nowMs);
-        return change(entry, entry.record.with(loss));
+    public Change recordLoss(ContentId content, Loss loss, long nowMs) {
+        Entry entry = getOrCreate(content, nowMs);
+        return setRecord(entry, entry.record.with(loss));
     }
 
     /** A request with {@code content} was run without harm. */
-    public Change ranWell(ContentId content, long nowMs) {
-        Entry entry = current(content, nowMs);
-        return entry == null || entry.count() == 0
+    public Change recordSuccess(ContentId content, long nowMs) {
+        Entry entry = findUnexpired(content, nowMs);
+        return entry == null || entry.crashCount() == 0
                 ? Change.NONE
-                : change(entry, entry.record.withdrawAll());
+                : setRecord(entry, entry.record.withdrawAll());
     }
 
     /** Returns the contents against which the end of {@code life} is held. */
-    public ImmutableList<ContentId> heldFor(ServerIncarnation life) {
+    public ImmutableList<ContentId> contentsWithLossOf(ServerIncarnation incarnation) {
         return entries.values().stream()
                 .map(e -> e.record)
-                .filter(r -> r.held().stream().anyMatch(l -> l.incarnation().equals(life)))
+                .filter(
+                        r ->
+                                r.countedLosses().stream()
+                                        .anyMatch(l -> l.incarnation().equals(incarnation)))
                 .map(CrashRecord::content)
                 .collect(ImmutableList.toImmutableList());
     }
 
     /** {@code life} was believed to have ended under {@code content}, and answers. */
-    public Change lives(ContentId content, ServerIncarnation life, long nowMs) {
-        Entry entry = current(content, nowMs);
-        return entry == null ? Change.NONE : change(entry, entry.record.withdraw(life));
+    public Change recordAlive(ContentId content, ServerIncarnation incarnation, long nowMs) {
+        Entry entry = findUnexpired(content, nowMs);
+        return entry == null ? Change.NONE : setRecord(entry, entry.record.withdraw(incarnation));
     }
 
     /** Takes what a router told; its words may come twice, late and in any order. */
-    public Change told(RouterId peer, News told, long nowMs) {
-        Entry entry = entry(told.record().content(), nowMs);
-        if (told.onTrial()) {
-            entry.trialsUntilMs.put(peer, nowMs + TRIAL_LOST_MS);
+    public Change handleUpdate(RouterId peer, ContentUpdate update, long nowMs) {
+        Entry entry = getOrCreate(update.record().content(), nowMs);
+        if (update.isOnTrial()) {
+            entry.trialsUntilMs.put(peer, nowMs + PEER_TRIAL_EXPIRY_MS);
         } else {
             entry.trialsUntilMs.remove(peer);
         }
-        Change change = merge(entry, told.record().shifted(nowMs));
-        dropIfBlank(told.record().content(), entry);
+        Change change = merge(entry, update.record().shifted(nowMs));
+        removeIfBlank(update.record().content(), entry);
         return change;
     }
 
     /** Takes a record that outlasted the routers. */
-    public Change recalled(CrashRecord record, long nowMs) {
-        return merge(entry(record.content(), nowMs), record);
+    public Change restore(CrashRecord record, long nowMs) {
+        return merge(getOrCreate(record.content(), nowMs), record);
     }
 
     /** Forgets the trials of a router that is lost. */
-    public void forget(RouterId peer) {
+    public void removeTrialsOf(RouterId peer) {
         entries.values().forEach(e -> e.trialsUntilMs.remove(peer));
     }
 
@@ -270,109 +275,109 @@
     }
 
     /** Returns whether there is something to tell. */
-    public boolean hasNews() {
-        return !news.isEmpty();
+    public boolean hasUpdates() {
+        return !pendingUpdates.isEmpty();
     }
 
     /** Returns what changed here since the last call. */
-    public ImmutableList<News> takeNews(long nowMs) {
-        ImmutableList<News> taken =
-                news.stream()
+    public ImmutableList<ContentUpdate> drainUpdates(long nowMs) {
+        ImmutableList<ContentUpdate> taken =
+                pendingUpdates.stream()
                         .filter(entries::containsKey)
-                        .map(c -> newsOf(entries.get(c), nowMs))
+                        .map(c -> updateOf(entries.get(c), nowMs))
                         .collect(ImmutableList.toImmutableList());
-        news.clear();
+        pendingUpdates.clear();
         return taken;
     }
 
     /** Returns all that a router is told which knows nothing. */
-    public ImmutableList<News> all(long nowMs) {
+    public ImmutableList<ContentUpdate> snapshot(long nowMs) {
         return entries.values().stream()
                 .filter(e -> !e.record.isBlank())
-                .map(e -> newsOf(e, nowMs))
+                .map(e -> updateOf(e, nowMs))
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private static News newsOf(Entry entry, long nowMs) {
-        return new News(entry.record.shifted(-nowMs), entry.ownTrials > 0);
+    private static ContentUpdate updateOf(Entry entry, long nowMs) {
+        return new ContentUpdate(entry.record.shifted(-nowMs), entry.ownTrials > 0);
     }
 
     /** What others told is not told on; what is still to be told of this router's own is. */
     private Change merge(Entry entry, CrashRecord record) {
-        boolean ownNews = news.contains(record.content());
-        Change change = change(entry, entry.record.merge(record));
-        if (!ownNews) {
-            news.remove(record.content());
+        boolean hasOwnUpdate = pendingUpdates.contains(record.content());
+        Change change = setRecord(entry, entry.record.merge(record));
+        if (!hasOwnUpdate) {
+            pendingUpdates.remove(record.content());
         }
         return change;
     }
 
-    private Change change(Entry entry, CrashRecord record) {
-        int before = entry.count();
+    private Change setRecord(Entry entry, CrashRecord record) {
+        int before = entry.crashCount();
         if (record.equals(entry.record)) {
             return Change.NONE;
         }
         entry.record = record;
         entries.remove(record.content());
         entries.put(record.content(), entry);
-        news.add(record.content());
-        int after = entry.count();
+        pendingUpdates.add(record.content());
+        int after = entry.crashCount();
         if (after > before) {
             return after >= LIMIT ? Change.QUARANTINED : Change.SUSPECTED;
         }
         return after == 0 && before > 0 ? Change.CLEARED : Change.NONE;
     }
 
-    private Entry entry(ContentId content, long nowMs) {
-        Entry entry = current(content, nowMs);
+    private Entry getOrCreate(ContentId content, long nowMs) {
+        Entry entry = findUnexpired(content, nowMs);
         if (entry != null) {
             return entry;
         }
-        makeRoom(nowMs);
+        evictIfFull(nowMs);
         Entry fresh = new Entry(CrashRecord.of(content));
-        fresh.sinceMs = nowMs;
+        fresh.createdMs = nowMs;
         entries.put(content, fresh);
         return fresh;
     }
 
-    private Entry current(ContentId content, long nowMs) {
+    private Entry findUnexpired(ContentId content, long nowMs) {
         Entry entry = entries.get(content);
-        if (entry != null && isOver(entry, nowMs)) {
+        if (entry != null && isExpired(entry, nowMs)) {
             entries.remove(content);
             return null;
         }
         return entry;
     }
 
-    private boolean isOver(Entry entry, long nowMs) {
-        boolean quarantined = entry.count() >= LIMIT;
-        long keptMs = quarantined ? longestHoldMs : Math.min(longestHoldMs, SUSPECT_MS);
-        return entry.inquiries == 0 && nowMs - entry.evidenceMs() >= keptMs;
+    private boolean isExpired(Entry entry, long nowMs) {
+        boolean isQuarantined = entry.crashCount() >= LIMIT;
+        long keptMs = isQuarantined ? longestHoldMs : Math.min(longestHoldMs, SUSPECT_EXPIRY_MS);
+        return entry.inquiries == 0 && nowMs - entry.lastEvidenceMs() >= keptMs;
     }
 
     /**
      * Forgets what has run out, and if need be the oldest below the limit: each content costs a
      * caller a server, so those in quarantine are the dearest to learn again.
      */
-    private void makeRoom(long nowMs) {
-        if (entries.size() < MOST_CONTENTS) {
+    private void evictIfFull(long nowMs) {
+        if (entries.size() < MAX_CONTENTS) {
             return;
         }
-        entries.values().removeIf(e -> isOver(e, nowMs));
-        removeOldest(false);
-        removeOldest(true);
+        entries.values().removeIf(e -> isExpired(e, nowMs));
+        evictOldest(false);
+        evictOldest(true);
     }
 
-    private void removeOldest(boolean quarantined) {
+    private void evictOldest(boolean quarantined) {
         Iterator<Entry> oldest = entries.values().iterator();
-        while (entries.size() >= MOST_CONTENTS && oldest.hasNext()) {
-            if (oldest.next().count() >= LIMIT == quarantined) {
+        while (entries.size() >= MAX_CONTENTS && oldest.hasNext()) {
+            if (oldest.next().crashCount() >= LIMIT == quarantined) {
                 oldest.remove();
             }
         }
     }
 
-    private void dropIfBlank(ContentId content, Entry entry) {
+    private void removeIfBlank(ContentId content, Entry entry) {
         if (entry.record.isBlank() && entry.inquiries == 0) {
             entries.remove(content);
         }
--- a/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
@@ -41,16 +41,16 @@
     private static final String TABLE = "quarantine";
 
     /** Servers from which on a record is kept. */
-    private static final int LEAST_SERVERS = 2;
+    private static final int MIN_SERVERS = 2;
 
     /** Time for one call, in ms. */
-    private static final long CALL_MS = 1_000;
+    private static final long CALL_TIMEOUT_MS = 1_000;
 
     /** Pause before a failed call is made again, in ms. */
-    private static final long AGAIN_MS = 500;
+    private static final long RETRY_MS = 500;
 
     /** Records that wait for the store; the newest of a content replaces its others. */
-    private static final int MOST_WAITING = 4_096;
+    private static final int MAX_PENDING = 4_096;
 
     private static final int PAGE_ROWS = 500;
     private static final char SEPARATOR = ' ';
@@ -63,9 +63,9 @@
     private final ScheduledExecutorService control;
     private final Clock clock;
     private final long holdMs;
-    private final Map<ContentId, CrashRecord> waiting = new LinkedHashMap<>();
-    private boolean writing;
-    private boolean load;
+    private final Map<ContentId, CrashRecord> pending = new LinkedHashMap<>();
+    private boolean isWriting;
+    private boolean isLoaded;
 
     public QuarantineStore(
             TableService store, ScheduledExecutorService control, Clock clock, long holdMs) {
@@ -77,32 +77,32 @@
 
     /** Reads the records that there are, with times by this router's clock. */
     public void load(Consumer<CrashRecord> found) {
-        readAfter("", found);
+        loadPageAfter("", found);
     }
 
-    private void readAfter(String key, Consumer<CrashRecord> found) {
-        store.list(TABLE, key, PAGE_ROWS, CALL_MS)
-                .thenAccept(outcome -> onControl(() -> readEnded(key, outcome, found)));
+    private void loadPageAfter(String key, Consumer<CrashRecord> found) {
+        store.list(TABLE, key, PAGE_ROWS, CALL_TIMEOUT_MS)
+                .thenAccept(outcome -> onControl(() -> onPageRead(key, outcome, found)));
     }
 
-    private void readEnded(
+    private void onPageRead(
             String key, ReadOutcome<List<Row>> outcome, Consumer<CrashRecord> found) {
         if (!(outcome instanceof ReadOutcome.Done<List<Row>> done)) {
-            again(() -> readAfter(key, found), "read");
+            retryLater(() -> loadPageAfter(key, found), "read");
             return;
         }
         List<Row> rows = done.value();
-        rows.forEach(r -> take(r, found));
+        rows.forEach(r -> handleRow(r, found));
         if (rows.size() < PAGE_ROWS) {
-            load = true;
+            isLoaded = true;
         } else {
-            readAfter(Iterables.getLast(rows).key().key(), found);
+            loadPageAfter(Iterables.getLast(rows).key().key(), found);
         }
     }
 
     /** Returns whether all records were read. */
     public boolean isLoaded() {
-        return load;
+        return isLoaded;
     }
 
     /** Keeps a record, or removes what was kept of one that is cleared; may be called anywhere. */
@@ -110,45 +110,45 @@
         onControl(
                 () -> {
                     // A record that never had two servers was not kept, so there is no row of it.
-                    boolean matters = record.losses().size() >= LEAST_SERVERS;
-                    if (matters && waiting.size() < MOST_WAITING) {
-                        waiting.put(record.content(), record);
+                    boolean matters = record.losses().size() >= MIN_SERVERS;
+                    if (matters && pending.size() < MAX_PENDING) {
+                        pending.put(record.content(), record);
                         write();
                     }
                 });
     }
 
     private void write() {
-        if (writing || waiting.isEmpty()) {
+        if (isWriting || pending.isEmpty()) {
             return;
         }
-        writing = true;
-        CrashRecord record = waiting.values().iterator().next();
-        store.transact(transaction(record), CALL_MS)
-                .thenAccept(outcome -> onControl(() -> written(record, outcome)));
+        isWriting = true;
+        CrashRecord record = pending.values().iterator().next();
+        store.transact(transaction(record), CALL_TIMEOUT_MS)
+                .thenAccept(outcome -> onControl(() -> onWritten(record, outcome)));
     }
 
-    private void written(CrashRecord record, TransactionOutcome outcome) {
-        writing = false;
+    private void onWritten(CrashRecord record, TransactionOutcome outcome) {
+        isWriting = false;
         if (outcome instanceof TransactionOutcome.Committed) {
-            waiting.remove(record.content(), record);
+            pending.remove(record.content(), record);
             write();
         } else {
-            again(this::write, "write");
+            retryLater(this::write, "write");
         }
     }
 
     private Transaction transaction(CrashRecord record) {
         RowKey key = RowKey.of(TABLE, record.content().value());
-        return record.held().isEmpty()
+        return record.countedLosses().isEmpty()
                 ? Transaction.builder().delete(key).build()
-                : Transaction.builder().put(key, text(record)).build();
+                : Transaction.builder().put(key, encode(record)).build();
     }
 
     /** Times are kept as they lie from the moment of writing. */
-    private String text(CrashRecord record) {
+    private String encode(CrashRecord record) {
         StringBuilder text = new StringBuilder(Long.toString(clock.wallMs()));
-        for (Loss loss : record.shifted(-clock.nowMs()).held()) {
+        for (Loss loss : record.shifted(-clock.nowMs()).countedLosses()) {
             ServerIncarnation life = loss.incarnation();
             text.append(SEPARATOR);
             Joiner.on(FIELD)
@@ -157,7 +157,7 @@
         return text.toString();
     }
 
-    private void take(Row row, Consumer<CrashRecord> found) {
+    private void handleRow(Row row, Consumer<CrashRecord> found) {
         try {
             List<String> parts = PARTS.splitToList(row.value());
             checkArgument(parts.size() >= 2, "no time and server");
@@ -168,8 +168,8 @@
             }
             ImmutableList<Loss> losses =
                     parts.subList(1, parts.size()).stream()
-                            .limit(CrashRecord.MOST_LIVES)
-                            .map(QuarantineStore::loss)
+                            .limit(CrashRecord.MAX_INCARNATIONS)
+                            .map(QuarantineStore::decodeLoss)
                             .collect(ImmutableList.toImmutableList());
             CrashRecord record =
                     new CrashRecord(ContentId.of(row.key().key()), losses, ImmutableSet.of());
@@ -181,12 +181,12 @@
 
     /** Another router that starts removes it if this call is lost. */
     private void remove(RowKey key) {
-        store.transact(Transaction.builder().delete(key).build(), CALL_MS)
+        store.transact(Transaction.builder().delete(key).build(), CALL_TIMEOUT_MS)
                 .thenAccept(
                         outcome -> LOG.info("quarantine: row {} has run out, {}", key, outcome));
     }
 
-    private static Loss loss(String text) {
+    private static Loss decodeLoss(String text) {
         List<String> fields = FIELDS.splitToList(text);
         checkArgument(fields.size() == LOSS_FIELDS, "%s is no loss", text);
         ServerIncarnation life =
@@ -194,9 +194,9 @@
         return new Loss(life, Long.parseLong(fields.get(2)), Long.parseLong(fields.get(3)));
     }
 
-    private void again(Runnable step, String what) {
+    private void retryLater(Runnable step, String what) {
         LOG.info("quarantine: the store could not be reached to {}, it is tried again", what);
-        ControlThread.executeAfter(control, step, AGAIN_MS, "quarantine");
+        ControlThread.executeAfter(control, step, RETRY_MS, "quarantine");
     }
 
     private void onControl(Runnable step) {
--- a/masticweir/src/main/java/org/masticweir/quarantine/SharedQuarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/SharedQuarantine.java
@@ -18,7 +18,7 @@
 import org.masticweir.id.RouterId;
 import org.masticweir.metrics.MetricName;
 import org.masticweir.quarantine.Quarantine.Change;
-import org.masticweir.quarantine.Quarantine.News;
+import org.masticweir.quarantine.Quarantine.ContentUpdate;
 import org.masticweir.time.Clock;
 
 /**
@@ -31,38 +31,38 @@
     private static final Logger LOG = LogManager.getLogger(SharedQuarantine.class);
 
     /** How long changes are gathered, in ms; short beside the start of a run. */
-    private static final long GATHER_MS = 5;
+    private static final long BATCH_MS = 5;
 
     private final Quarantine quarantine;
     private final Clock clock;
     private final ScheduledExecutorService control;
-    private final Consumer<CrashUpdate> tell;
-    private final Consumer<CrashRecord> keep;
+    private final Consumer<CrashUpdate> broadcast;
+    private final Consumer<CrashRecord> save;
     private final Counter suspected;
     private final Counter quarantined;
     private final Counter cleared;
     private volatile BiConsumer<ContentId, Change> listener = (content, change) -> {};
-    private volatile boolean empty = true;
-    private boolean gathering;
+    private volatile boolean isEmpty = true;
+    private boolean isBatchScheduled;
 
     /**
      * Creates the quarantine of one router.
      *
-     * @param tell tells all other routers; called on the control thread
-     * @param keep keeps a record where it outlasts the routers; called on any thread
+     * @param broadcast tells all other routers; called on the control thread
+     * @param save keeps a record where it outlasts the routers; called on any thread
      */
     public SharedQuarantine(
             Quarantine quarantine,
             Clock clock,
             MetricRegistry metrics,
             ScheduledExecutorService control,
-            Consumer<CrashUpdate> tell,
-            Consumer<CrashRecord> keep) {
+            Consumer<CrashUpdate> broadcast,
+            Consumer<CrashRecord> save) {
         this.quarantine = checkNotNull(quarantine, "quarantine");
         this.clock = checkNotNull(clock, "clock");
         this.control = checkNotNull(control, "control");
-        this.tell = checkNotNull(tell, "tell");
-        this.keep = checkNotNull(keep, "keep");
+        this.broadcast = checkNotNull(broadcast, "broadcast");
+        this.save = checkNotNull(save, "save");
         suspected = metrics.counter(MetricName.of("contents_suspected_total"));
         quarantined = metrics.counter(MetricName.of("contents_quarantined_total"));
         cleared = metrics.counter(MetricName.of("contents_cleared_total"));
@@ -82,84 +82,89 @@
      * @param content asked for only while something is held against any content
      */
     public SendRule sendRule(Supplier<ContentId> content, long nowMs) {
-        if (empty) {
+        if (isEmpty) {
             return SendRule.ANY_SERVER;
         }
         ContentId id = content.get();
         synchronized (this) {
-            return quarantine.rule(id, nowMs);
+            return quarantine.sendRule(id, nowMs);
         }
     }
 
     /** Returns how long a quarantined content is held from now on, in ms. */
     public synchronized long remainingHoldMs(ContentId content, long nowMs) {
-        return quarantine.holdLeftMs(content, nowMs);
+        return quarantine.remainingHoldMs(content, nowMs);
     }
 
     /** A request is sent; returns whether it is on trial, until {@link #endTrial}. */
     public boolean beginTrial(Supplier<ContentId> content) {
-        if (empty) {
+        if (isEmpty) {
             return false;
         }
         ContentId id = content.get();
         synchronized (this) {
-            boolean onTrial = quarantine.trialBegins(id, clock.nowMs());
-            gather();
+            boolean onTrial = quarantine.beginTrial(id, clock.nowMs());
+            scheduleBatch();
             return onTrial;
         }
     }
 
     /** A send that was on trial is over. */
     public synchronized void endTrial(ContentId content) {
-        quarantine.trialEnded(content);
-        gather();
+        quarantine.endTrial(content);
+        scheduleBatch();
     }
 
     /** A loss is looked into, and waited for until {@link #endInquiry}. */
     public synchronized void beginInquiry(ContentId content) {
-        quarantine.inquiryBegins(content, clock.nowMs());
-        empty = false;
+        quarantine.beginInquiry(content, clock.nowMs());
+        isEmpty = false;
     }
 
     /** The cause of a loss was found. */
     public synchronized void endInquiry(ContentId content) {
-        quarantine.inquiryEnded(content);
-        empty = quarantine.isEmpty();
+        quarantine.endInquiry(content);
+        isEmpty = quarantine.isEmpty();
     }
 
     /** A server ended that had begun to run a request with {@code content}. */
     public void recordLoss(ContentId content, Loss loss, String cause) {
-        apply(content, cause, now -> quarantine.ended(content, loss, now));
+        apply(content, cause, now -> quarantine.recordLoss(content, loss, now));
     }
 
     /** A request ran for longer than a trial lasts, or got its whole answer. */
     public void recordSuccess(Supplier<ContentId> content) {
-        if (!empty) {
+        if (!isEmpty) {
             ContentId id = content.get();
-            apply(id, "it ran without harm", now -> quarantine.ranWell(id, now));
+            apply(id, "it ran without harm", now -> quarantine.recordSuccess(id, now));
         }
     }
 
     /** A life that was believed to have ended answers. */
-    public void recordAlive(ServerIncarnation life) {
-        List<ContentId> held;
+    public void recordAlive(ServerIncarnation incarnation) {
+        List<ContentId> contents;
         synchronized (this) {
-            held = quarantine.heldFor(life);
+            contents = quarantine.contentsWithLossOf(incarnation);
         }
-        held.forEach(c -> apply(c, life + " lives", now -> quarantine.lives(c, life, now)));
+        contents.forEach(
+                c ->
+                        apply(
+                                c,
+                                incarnation + " lives",
+                                now -> quarantine.recordAlive(c, incarnation, now)));
     }
 
     /** Takes what another router told. */
-    public void handleUpdate(RouterId peer, CrashUpdate news) {
-        news.contents().forEach(n -> handleUpdate(peer, n));
+    public void handleUpdate(RouterId peer, CrashUpdate update) {
+        update.contents().forEach(n -> handleUpdate(peer, n));
     }
 
-    private void handleUpdate(RouterId peer, News news) {
-        ContentId content = news.record().content();
+    private void handleUpdate(RouterId peer, ContentUpdate update) {
+        ContentId content = update.record().content();
         Change change;
         synchronized (this) {
-            change = quarantine.told(peer, news, clock.nowMs());
-            empty = quarantine.isEmpty();
+            change = quarantine.handleUpdate(peer, update, clock.nowMs());
+            isEmpty = quarantine.isEmpty();
         }
         if (change == Change.QUARANTINED) {
             log(content, change, "word of " + peer);
@@ -167,51 +172,51 @@
             // The router that found it out has written it at a higher level.
             LOG.debug("quarantine: content {} is {}, word of {}", content, change, peer);
         }
-        report(content, change);
+        notifyListener(content, change);
     }
 
     /** Takes a record that outlasted the routers. */
     public void restore(CrashRecord record) {
         Change change;
         synchronized (this) {
-            change = quarantine.recalled(record, clock.nowMs());
-            empty = false;
+            change = quarantine.restore(record, clock.nowMs());
+            isEmpty = false;
         }
         log(record.content(), change, "read from the store");
-        report(record.content(), change);
+        notifyListener(record.content(), change);
     }
 
     /** Forgets the trials of a router that is lost. */
     public synchronized void removeTrialsOf(RouterId peer) {
-        quarantine.forget(peer);
+        quarantine.removeTrialsOf(peer);
     }
 
     /** Returns all that a router is told which knows nothing; empty if there is nothing to tell. */
     public synchronized Optional<CrashUpdate> snapshot() {
-        List<News> all = quarantine.all(clock.nowMs());
+        List<ContentUpdate> all = quarantine.snapshot(clock.nowMs());
         return all.isEmpty() ? Optional.empty() : Optional.of(new CrashUpdate(all));
     }
 
     /** One change of a content at a time. */
     private interface Command {
-        Change at(long nowMs);
+        Change runAt(long nowMs);
     }
 
     private void apply(ContentId content, String cause, Command command) {
         Change change;
         synchronized (this) {
-            change = command.at(clock.nowMs());
-            empty = quarantine.isEmpty();
-            gather();
+            change = command.runAt(clock.nowMs());
+            isEmpty = quarantine.isEmpty();
+            scheduleBatch();
         }
         log(content, change, cause);
         if (change != Change.NONE) {
-            record(content).ifPresent(keep);
+            record(content).ifPresent(save);
         }
-        report(content, change);
+        notifyListener(content, change);
     }
 
-    private void report(ContentId content, Change change) {
+    private void notifyListener(ContentId content, Change change) {
         if (change == Change.SUSPECTED || change == Change.QUARANTINED) {
             listener.accept(content, change);
         }
@@ -222,22 +227,22 @@
     }
 
     /** What changes within a few milliseconds goes out together: a server ends under several. */
-    private void gather() {
-        if (gathering || !quarantine.hasNews()) {
+    private void scheduleBatch() {
+        if (isBatchScheduled || !quarantine.hasUpdates()) {
             return;
         }
-        gathering = true;
-        ControlThread.executeAfter(control, this::tellNow, GATHER_MS, "quarantine");
+        isBatchScheduled = true;
+        ControlThread.executeAfter(control, this::sendBatch, BATCH_MS, "quarantine");
     }
 
-    private void tellNow() {
-        CrashUpdate news;
+    private void sendBatch() {
+        CrashUpdate update;
         synchronized (this) {
-            gathering = false;
-            news = new CrashUpdate(quarantine.takeNews(clock.nowMs()));
+            isBatchScheduled = false;
+            update = new CrashUpdate(quarantine.drainUpdates(clock.nowMs()));
         }
-        if (!news.contents().isEmpty()) {
-            tell.accept(news);
+        if (!update.contents().isEmpty()) {
+            broadcast.accept(update);
         }
     }
 
@@ -260,7 +265,7 @@
 
     private String evidence(ContentId content, String cause) {
         return record(content)
-                .map(r -> cause + "; " + r.ends() + " ends counted of " + r.held())
+                .map(r -> cause + "; " + r.crashCount() + " ends counted of " + r.countedLosses())
                 .orElse(cause);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/permits/PermitFleet.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitFleet.java
@@ -32,45 +32,45 @@
             ServerIncarnation.ofUnknownStart(EngineId.of("i-limited"));
 
     /** Repeats that all routers may send in ten seconds beyond their own shares. */
-    static final double ALLOWED_REPEATS = 150;
+    static final double ALLOWED_RETRIES = 150;
 
-    private static final PermitKey REPEATS = PermitKey.ofRepeats(ServiceName.of("reports"));
-    private static final SharedRate ALLOWANCE = SharedRate.ofAllowance(ALLOWED_REPEATS);
+    private static final PermitKey RETRIES = PermitKey.ofRepeats(ServiceName.of("reports"));
+    private static final SharedRate ALLOWANCE = SharedRate.ofAllowance(ALLOWED_RETRIES);
 
     /** Time after which a link without a sign of life is given up, in ms. */
     private static final long SILENCE_MS = 2_000;
 
     /** Longest time until a link that may come up again does, in ms. */
-    private static final int LINK_AGAIN_MS = 500;
+    private static final int MAX_RELINK_MS = 500;
 
-    private static final int MOST_DELAY_MS = 20;
-    private static final int WAY_TO_SERVER_MS = 2;
+    private static final int MAX_DELAY_MS = 20;
+    private static final int SERVER_DELAY_MS = 2;
     private static final int ANSWER_MS = 60;
 
     /** How long a router restarts for, in ms. */
     private static final long RESTART_MS = 1_000;
 
     /** Most asks of one request: the servers that it would try. */
-    private static final int MOST_ASKS = 2;
+    private static final int MAX_PERMIT_REQUESTS = 2;
 
     private final Random random;
     private final double lost;
     private final List<Node> nodes = new ArrayList<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final FleetClock clock = new FleetClock();
     private final List<Arrival> arrivals = new ArrayList<>();
-    private final List<Arrival> repeats = new ArrayList<>();
+    private final List<Arrival> retries = new ArrayList<>();
     private OptionalDouble limit = OptionalDouble.empty();
     private long nowMs;
-    private int number;
-    private int asksSent;
+    private int nextEventNumber;
+    private int permitRequestsSent;
 
     /** A request that came to the server. */
-    record Arrival(long atMs, int router, boolean told) {}
+    record Arrival(long atMs, int router, boolean mustComply) {}
 
-    private record Due(long atMs, int number, Runnable what) implements Comparable<Due> {
+    private record Event(long atMs, int number, Runnable what) implements Comparable<Event> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(Event other) {
             return atMs == other.atMs
                     ? Integer.compare(number, other.number)
                     : Long.compare(atMs, other.atMs);
@@ -94,48 +94,49 @@
         private final int index;
         private final RouterId id;
         private final Set<Integer> linked = new HashSet<>();
-        private final List<Runnable> held = new ArrayList<>();
+        private final List<Runnable> deferred = new ArrayList<>();
         private ServerLimits limits;
         private SharedPermits permits;
         private SharedLimits shared;
-        private int life;
+        private int incarnation;
         private int side;
-        private boolean up = true;
-        private boolean stopped;
-        private long toldMs = Long.MAX_VALUE;
-        private long repeatsClosedMs;
+        private boolean isUp = true;
+        private boolean isSuspended;
+        private long mustComplyFromMs = Long.MAX_VALUE;
+        private long retriesBlockedUntilMs;
 
         Node(int index) {
             this.index = index;
             id = RouterId.of("r" + index);
-            begin();
+            start();
         }
 
-        private void begin() {
+        private void start() {
             limits = ServerLimits.create();
             permits = new SharedPermits(id, this, clock, Runnable::run, new MetricRegistry());
-            shared = new SharedLimits(limits, permits, clock, new MetricRegistry(), this::tell);
-            toldMs = Long.MAX_VALUE;
+            shared =
+                    new SharedLimits(limits, permits, clock, new MetricRegistry(), this::broadcast);
+            mustComplyFromMs = Long.MAX_VALUE;
         }
 
-        private void tell(LimitUpdate news) {
+        private void broadcast(LimitUpdate news) {
             linked.forEach(peer -> send(nodes.get(peer).id, news));
         }
 
         /** Runs {@code what} here, when the process next runs, unless it is another one then. */
-        private void here(Runnable what) {
-            int then = life;
-            run(
+        private void runInProcess(Runnable what) {
+            int then = incarnation;
+            runOrDefer(
                     () -> {
-                        if (life == then && up) {
+                        if (incarnation == then && isUp) {
                             what.run();
                         }
                     });
         }
 
-        private void run(Runnable what) {
-            if (stopped) {
-                held.add(what);
+        private void runOrDefer(Runnable what) {
+            if (isSuspended) {
+                deferred.add(what);
             } else {
                 what.run();
             }
@@ -151,10 +152,10 @@
         @Override
         public CompletableFuture<PeerMessage> ask(
                 RouterId to, PeerMessage message, long timeoutMs) {
-            asksSent++;
+            permitRequestsSent++;
             CompletableFuture<PeerMessage> answer = new CompletableFuture<>();
             Node peer = byId(to);
-            in(timeoutMs, () -> here(() -> fail(answer)));
+            schedule(timeoutMs, () -> runInProcess(() -> fail(answer)));
             deliver(
                     this,
                     peer,
@@ -204,48 +205,48 @@
         }
 
         /** A request is to be sent again, for which this router's own requests do not allow. */
-        private void repeat() {
-            if (nowMs < repeatsClosedMs) {
+        private void retry() {
+            if (nowMs < retriesBlockedUntilMs) {
                 return;
             }
             permits.request(
-                    REPEATS,
+                    RETRIES,
                     0,
                     ALLOWANCE,
                     decision -> {
                         if (decision.isGranted()) {
-                            repeats.add(new Arrival(nowMs, index, true));
+                            retries.add(new Arrival(nowMs, index, true));
                         } else {
-                            repeatsClosedMs = nowMs + decision.retryAfterMs();
+                            retriesBlockedUntilMs = nowMs + decision.retryAfterMs();
                         }
                     });
         }
 
         private void sendToServer() {
             long sentMs = nowMs;
-            boolean told = nowMs >= toldMs;
-            in(WAY_TO_SERVER_MS, () -> arrivals.add(new Arrival(nowMs, index, told)));
-            in(
-                    WAY_TO_SERVER_MS + random.nextInt(ANSWER_MS),
+            boolean told = nowMs >= mustComplyFromMs;
+            schedule(SERVER_DELAY_MS, () -> arrivals.add(new Arrival(nowMs, index, told)));
+            schedule(
+                    SERVER_DELAY_MS + random.nextInt(ANSWER_MS),
                     () -> {
                         AnnouncedLimit word =
                                 limit.isPresent()
                                         ? AnnouncedLimit.of(limit.getAsDouble())
                                         : AnnouncedLimit.none();
-                        here(() -> answered(word, sentMs));
+                        runInProcess(() -> handleAnswer(word, sentMs));
                     });
         }
 
-        private void answered(AnnouncedLimit word, long sentMs) {
-            if (word.kind() == AnnouncedLimit.Kind.ANNOUNCED) {
-                toldMs = Math.min(toldMs, nowMs + TOLD_MS);
+        private void handleAnswer(AnnouncedLimit announced, long sentMs) {
+            if (announced.kind() == AnnouncedLimit.Kind.ANNOUNCED) {
+                mustComplyFromMs = Math.min(mustComplyFromMs, nowMs + COMPLIANCE_MS);
             }
-            shared.handleAnswer(SERVER, word, "request", sentMs);
+            shared.handleAnswer(SERVER, announced, "request", sentMs);
         }
     }
 
     /** Time in which a router that was told has to keep to a limit, in ms. */
-    static final long TOLD_MS = 500;
+    static final long COMPLIANCE_MS = 500;
 
     /**
      * Creates routers that all know each other, with links that come up one after the other.
@@ -266,13 +267,13 @@
         return nodes.get(Integer.parseInt(id.value().substring(1)));
     }
 
-    void in(long ms, Runnable what) {
-        due.add(new Due(nowMs + ms, number++, what));
+    void schedule(long ms, Runnable what) {
+        events.add(new Event(nowMs + ms, nextEventNumber++, what));
     }
 
     void runUntil(long untilMs) {
-        while (!due.isEmpty() && due.peek().atMs() <= untilMs) {
-            Due next = due.poll();
+        while (!events.isEmpty() && events.peek().atMs() <= untilMs) {
+            Event next = events.poll();
             nowMs = next.atMs();
             next.what().run();
         }
@@ -280,7 +281,7 @@
     }
 
     /** From now on the server names this limit in its answers; empty if it names none. */
-    void name(OptionalDouble perSecond) {
+    void announce(OptionalDouble perSecond) {
         limit = perSecond;
     }
 
@@ -290,58 +291,61 @@
             if (shares[i] > 0) {
                 Node node = nodes.get(i);
                 double gapMs = 1_000 / (perSecond * shares[i]);
-                next(node, gapMs, untilMs, () -> node.request(MOST_ASKS));
+                scheduleNext(node, gapMs, untilMs, () -> node.request(MAX_PERMIT_REQUESTS));
             }
         }
     }
 
     /** Has each router repeat its share of {@code perSecond} requests until {@code untilMs}. */
-    void repeatLoad(double[] shares, double perSecond, long untilMs) {
+    void retryLoad(double[] shares, double perSecond, long untilMs) {
         for (int i = 0; i < shares.length; i++) {
             if (shares[i] > 0) {
                 Node node = nodes.get(i);
-                next(node, 1_000 / (perSecond * shares[i]), untilMs, node::repeat);
+                scheduleNext(node, 1_000 / (perSecond * shares[i]), untilMs, node::retry);
             }
         }
     }
 
-    private void next(Node node, double gapMs, long untilMs, Runnable what) {
+    private void scheduleNext(Node node, double gapMs, long untilMs, Runnable what) {
         long waitMs = Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * gapMs));
         if (nowMs + waitMs > untilMs) {
             return;
         }
-        in(
+        schedule(
                 waitMs,
                 () -> {
-                    if (node.up && !node.stopped) {
+                    if (node.isUp && !node.isSuspended) {
                         what.run();
                     }
-                    next(node, gapMs, untilMs, what);
+                    scheduleNext(node, gapMs, untilMs, what);
                 });
     }
 
-    private boolean reach(Node from, Node to) {
-        return from.up && to.up && from.side == to.side;
+    private boolean canReach(Node from, Node to) {
+        return from.isUp && to.isUp && from.side == to.side;
     }
 
     private void deliver(Node from, Node to, Runnable what) {
-        boolean arrives = reach(from, to) && random.nextDouble() >= lost;
+        boolean arrives = canReach(from, to) && random.nextDouble() >= lost;
         if (arrives) {
-            in(1 + random.nextInt(MOST_DELAY_MS), () -> to.here(what));
+            schedule(1 + random.nextInt(MAX_DELAY_MS), () -> to.runInProcess(what));
         }
     }
 
     private void linkSoon(Node node) {
         for (Node peer : nodes) {
             if (peer != node) {
-                in(random.nextInt(LINK_AGAIN_MS), () -> linkUp(node, peer));
-                in(random.nextInt(LINK_AGAIN_MS), () -> linkUp(peer, node));
+                schedule(random.nextInt(MAX_RELINK_MS), () -> linkUp(node, peer));
+                schedule(random.nextInt(MAX_RELINK_MS), () -> linkUp(peer, node));
             }
         }
     }
 
     private void linkUp(Node node, Node peer) {
-        if (!reach(node, peer) || node.stopped || peer.stopped || !node.linked.add(peer.index)) {
+        if (!canReach(node, peer)
+                || node.isSuspended
+                || peer.isSuspended
+                || !node.linked.add(peer.index)) {
             return;
         }
         node.permits.linkUp(peer.id);
@@ -354,12 +358,12 @@
         }
     }
 
-    private void dropSilent(Node node, Node peer) {
-        in(
-                SILENCE_MS + random.nextInt(MOST_DELAY_MS),
+    private void closeLinkIfSilent(Node node, Node peer) {
+        schedule(
+                SILENCE_MS + random.nextInt(MAX_DELAY_MS),
                 () -> {
-                    if (!reach(node, peer) || peer.stopped) {
-                        node.here(() -> linkDown(node, peer));
+                    if (!canReach(node, peer) || peer.isSuspended) {
+                        node.runInProcess(() -> linkDown(node, peer));
                     }
                 });
     }
@@ -367,61 +371,61 @@
     /** Ends a router's process; it starts again with nothing known. */
     void kill(int router) {
         Node node = nodes.get(router);
-        if (!node.up || node.stopped) {
+        if (!node.isUp || node.isSuspended) {
             return;
         }
-        node.up = false;
-        node.life++;
+        node.isUp = false;
+        node.incarnation++;
         node.linked.clear();
         for (Node peer : nodes) {
-            in(1 + random.nextInt(MOST_DELAY_MS), () -> linkDown(peer, node));
+            schedule(1 + random.nextInt(MAX_DELAY_MS), () -> linkDown(peer, node));
         }
-        in(
+        schedule(
                 RESTART_MS,
                 () -> {
-                    node.up = true;
-                    node.begin();
+                    node.isUp = true;
+                    node.start();
                     nodes.forEach(peer -> node.permits.addRouter(peer.id));
                     linkSoon(node);
                 });
     }
 
     /** Stops a router's process for a time; what comes meanwhile is read when it goes on. */
-    void stop(int router, long forMs) {
+    void suspend(int router, long forMs) {
         Node node = nodes.get(router);
-        if (!node.up || node.stopped) {
+        if (!node.isUp || node.isSuspended) {
             return;
         }
-        node.stopped = true;
-        nodes.forEach(peer -> dropSilent(peer, node));
-        in(
+        node.isSuspended = true;
+        nodes.forEach(peer -> closeLinkIfSilent(peer, node));
+        schedule(
                 forMs,
                 () -> {
-                    node.stopped = false;
-                    List<Runnable> held = ImmutableList.copyOf(node.held);
-                    node.held.clear();
-                    held.forEach(Runnable::run);
+                    node.isSuspended = false;
+                    List<Runnable> deferred = ImmutableList.copyOf(node.deferred);
+                    node.deferred.clear();
+                    deferred.forEach(Runnable::run);
                     linkSoon(node);
                 });
     }
 
     /** Cuts the first {@code count} routers off from the others for a time. */
-    void cut(int count, long forMs) {
-        side(count, 1);
+    void partition(int count, long forMs) {
+        assignSide(count, 1);
         for (Node node : nodes) {
             nodes.stream()
                     .filter(peer -> peer.side != node.side)
-                    .forEach(peer -> dropSilent(node, peer));
+                    .forEach(peer -> closeLinkIfSilent(node, peer));
         }
-        in(
+        schedule(
                 forMs,
                 () -> {
-                    side(count, 0);
+                    assignSide(count, 0);
                     nodes.forEach(this::linkSoon);
                 });
     }
 
-    private void side(int count, int side) {
+    private void assignSide(int count, int side) {
         nodes.subList(0, count).forEach(n -> n.side = side);
     }
 
@@ -429,19 +433,19 @@
         return arrivals;
     }
 
-    List<Arrival> repeats() {
-        return repeats;
+    List<Arrival> retries() {
+        return retries;
     }
 
-    int asksSent() {
-        return asksSent;
+    int permitRequestsSent() {
+        return permitRequestsSent;
     }
 
     /** Returns the most requests in a window of {@code windowMs} from {@code fromMs} on. */
-    static int most(List<Arrival> arrivals, long windowMs, long fromMs) {
+    static int maxInWindow(List<Arrival> arrivals, long windowMs, long fromMs) {
         List<Long> times =
                 arrivals.stream()
-                        .filter(Arrival::told)
+                        .filter(Arrival::mustComply)
                         .map(Arrival::atMs)
                         .filter(t -> t >= fromMs)
                         .sorted()
@@ -458,12 +462,12 @@
     }
 
     /** Runs {@code what} at {@code atMs}. */
-    void at(long atMs, Consumer<PermitFleet> what) {
-        in(atMs - nowMs, () -> what.accept(this));
+    void scheduleAt(long atMs, Consumer<PermitFleet> what) {
+        schedule(atMs - nowMs, () -> what.accept(this));
     }
 
     /** Returns the limit that a router believes in. */
-    OptionalDouble believed(int router) {
+    OptionalDouble storedLimit(int router) {
         return nodes.get(router).limits.perSecond(SERVER);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/permits/PermitFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitFleetTest.java
@@ -17,14 +17,14 @@
 /** A server's limit, kept by all routers together. */
 class PermitFleetTest {
     private static final long WINDOW_MS = 4_000;
-    private static final long NAMED_MS = 2_000;
+    private static final long ANNOUNCED_MS = 2_000;
     private static final long END_MS = 30_000;
-    private static final int TROUBLES = 8;
+    private static final int FAULTS = 8;
 
     /** Requests a second of all callers. */
     private static final double DEMAND = 120;
 
-    private static double allowed(double limit) {
+    private static double allowedInWindow(double limit) {
         return limit * WINDOW_MS / 1_000 + 5;
     }
 
@@ -34,14 +34,14 @@
         return shares;
     }
 
-    private static void assertKept(PermitFleet fleet, double limit) {
-        int most = PermitFleet.most(fleet.arrivals(), WINDOW_MS, 0);
+    private static void assertWithinLimit(PermitFleet fleet, double limit) {
+        int most = PermitFleet.maxInWindow(fleet.arrivals(), WINDOW_MS, 0);
         assertTrue(
-                most <= allowed(limit),
-                () -> most + " in a window, " + allowed(limit) + " allowed");
+                most <= allowedInWindow(limit),
+                () -> most + " in a window, " + allowedInWindow(limit) + " allowed");
     }
 
-    private static long arrived(PermitFleet fleet, long fromMs, long untilMs) {
+    private static long arrivalCount(PermitFleet fleet, long fromMs, long untilMs) {
         return fleet.arrivals().stream()
                 .filter(a -> a.atMs() >= fromMs && a.atMs() < untilMs)
                 .count();
@@ -49,164 +49,168 @@
 
     /** Nothing fails. */
     @Nested
-    class Calm {
+    class WithoutFaults {
         @ParameterizedTest
         @ValueSource(ints = {1, 8, 61, 95, 390})
-        void isKeptAndUsed(int routers) {
+        void limitIsRespectedAndUsed(int routers) {
             double limit = 4.7;
             PermitFleet fleet = new PermitFleet(routers, 0, routers);
             fleet.load(evenly(routers), DEMAND, END_MS);
-            fleet.at(NAMED_MS, f -> f.name(OptionalDouble.of(limit)));
+            fleet.scheduleAt(ANNOUNCED_MS, f -> f.announce(OptionalDouble.of(limit)));
             fleet.runUntil(END_MS);
-            assertKept(fleet, limit);
-            long usedFromMs = NAMED_MS + 3_000;
-            double used = arrived(fleet, usedFromMs, END_MS) * 1_000.0 / (END_MS - usedFromMs);
+            assertWithinLimit(fleet, limit);
+            long usedFromMs = ANNOUNCED_MS + 3_000;
+            double used = arrivalCount(fleet, usedFromMs, END_MS) * 1_000.0 / (END_MS - usedFromMs);
             assertTrue(used >= 0.85 * limit, used + " a second used of " + limit);
         }
 
         /** Asks must not grow with the fleet: one server in need would load all issuers. */
         @Test
-        void isAskedForAFewTimesAPermitAndRouter() {
+        void permitRequestsAreBoundedPerPermitAndRouter() {
             double limit = 4.7;
             PermitFleet fleet = new PermitFleet(95, 0, 5);
             fleet.load(evenly(95), DEMAND, END_MS);
-            fleet.name(OptionalDouble.of(limit));
+            fleet.announce(OptionalDouble.of(limit));
             fleet.runUntil(END_MS);
-            double asks = fleet.asksSent() * 1_000.0 / END_MS;
+            double asks = fleet.permitRequestsSent() * 1_000.0 / END_MS;
             assertTrue(asks <= 95 / 2.0 + 4 * limit, asks + " asks a second");
         }
 
         /** All callers are at one router: the others' parts must not lie unused. */
         @Test
-        void goesToTheRouterThatHasTheCallers() {
+        void permitsGoToTheRouterWithCallers() {
             double limit = 9;
             double[] shares = new double[95];
             shares[17] = 1;
             PermitFleet fleet = new PermitFleet(95, 0, 3);
             fleet.load(shares, DEMAND, END_MS);
-            fleet.name(OptionalDouble.of(limit));
+            fleet.announce(OptionalDouble.of(limit));
             fleet.runUntil(END_MS);
-            double used = arrived(fleet, 5_000, END_MS) * 1_000.0 / (END_MS - 5_000);
+            double used = arrivalCount(fleet, 5_000, END_MS) * 1_000.0 / (END_MS - 5_000);
             assertTrue(used >= 0.85 * limit, used + " a second used");
-            assertKept(fleet, limit);
+            assertWithinLimit(fleet, limit);
         }
 
         @Test
-        void endsWhenTheServerNamesNoneAnyMore() {
+        void limitIsLiftedWhenTheServerAnnouncesNone() {
             PermitFleet fleet = new PermitFleet(8, 0, 4);
             fleet.load(evenly(8), DEMAND, END_MS);
-            fleet.name(OptionalDouble.of(4.5));
-            fleet.at(10_000, f -> f.name(OptionalDouble.empty()));
+            fleet.announce(OptionalDouble.of(4.5));
+            fleet.scheduleAt(10_000, f -> f.announce(OptionalDouble.empty()));
             fleet.runUntil(END_MS);
-            assertTrue(arrived(fleet, 12_000, END_MS) >= 0.85 * DEMAND * (END_MS - 12_000) / 1_000);
+            assertTrue(
+                    arrivalCount(fleet, 12_000, END_MS)
+                            >= 0.85 * DEMAND * (END_MS - 12_000) / 1_000);
             for (int i = 0; i < 8; i++) {
-                assertEquals(OptionalDouble.empty(), fleet.believed(i));
+                assertEquals(OptionalDouble.empty(), fleet.storedLimit(i));
             }
         }
 
         /** A server that takes nothing at all is still heard of, so that its limit can end. */
         @Test
-        void ofNothingIsTriedNowAndThen() {
+        void limitOfZeroStillAllowsSomeRequests() {
             PermitFleet fleet = new PermitFleet(8, 0, 4);
             fleet.load(evenly(8), DEMAND, END_MS);
-            fleet.name(OptionalDouble.of(0));
+            fleet.announce(OptionalDouble.of(0));
             fleet.runUntil(END_MS);
-            assertKept(fleet, 0);
-            assertTrue(arrived(fleet, 10_000, END_MS) >= 1);
+            assertWithinLimit(fleet, 0);
+            assertTrue(arrivalCount(fleet, 10_000, END_MS) >= 1);
         }
     }
 
     /** Repeats beyond what each router's own requests allow, where most servers fail. */
     @Nested
-    class Repeats {
-        private static final long REPEAT_WINDOW_MS = 10_000;
+    class Retries {
+        private static final long RETRY_WINDOW_MS = 10_000;
         private static final double FAILING = 200;
 
-        private static int most(PermitFleet fleet) {
-            return PermitFleet.most(fleet.repeats(), REPEAT_WINDOW_MS, 0);
+        private static int maxInWindow(PermitFleet fleet) {
+            return PermitFleet.maxInWindow(fleet.retries(), RETRY_WINDOW_MS, 0);
         }
 
         private static void assertWithin(PermitFleet fleet) {
-            assertTrue(most(fleet) <= PermitFleet.ALLOWED_REPEATS, most(fleet) + " in a window");
+            assertTrue(
+                    maxInWindow(fleet) <= PermitFleet.ALLOWED_RETRIES,
+                    maxInWindow(fleet) + " in a window");
         }
 
         @ParameterizedTest
         @ValueSource(ints = {8, 61, 95, 390})
         void stayWithinTheAllowanceAndUseIt(int routers) {
             PermitFleet fleet = new PermitFleet(routers, 0, routers);
-            fleet.repeatLoad(evenly(routers), FAILING, END_MS);
+            fleet.retryLoad(evenly(routers), FAILING, END_MS);
             fleet.runUntil(END_MS);
             assertWithin(fleet);
-            double wanted = 0.85 * PermitFleet.ALLOWED_REPEATS;
-            assertTrue(most(fleet) >= wanted, most(fleet) + " in the best window");
+            double wanted = 0.85 * PermitFleet.ALLOWED_RETRIES;
+            assertTrue(maxInWindow(fleet) >= wanted, maxInWindow(fleet) + " in the best window");
         }
 
         /** One router's servers fail; the others have nothing to repeat. */
         @Test
-        void ofOneRouterUseWhatTheOthersDoNot() {
+        void ofOneRouterUseTheWholeAllowance() {
             double[] shares = new double[95];
             shares[40] = 1;
             PermitFleet fleet = new PermitFleet(95, 0, 2);
-            fleet.repeatLoad(shares, FAILING, END_MS);
+            fleet.retryLoad(shares, FAILING, END_MS);
             fleet.runUntil(END_MS);
             assertWithin(fleet);
-            double wanted = 0.85 * PermitFleet.ALLOWED_REPEATS;
-            assertTrue(most(fleet) >= wanted, most(fleet) + " in the best window");
+            double wanted = 0.85 * PermitFleet.ALLOWED_RETRIES;
+            assertTrue(maxInWindow(fleet) >= wanted, maxInWindow(fleet) + " in the best window");
         }
 
         @Property(tries = 150, seed = "32")
-        void stayWithinTheAllowanceInTrouble(
+        void stayWithinTheAllowanceDespiteFaults(
                 @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
             Random random = new Random(seed);
             int routers = 3 + random.nextInt(40);
             PermitFleet fleet = new PermitFleet(routers, 0.05 * random.nextDouble(), seed);
-            fleet.repeatLoad(evenly(routers), FAILING, END_MS);
-            runTroubled(fleet, routers, random);
+            fleet.retryLoad(evenly(routers), FAILING, END_MS);
+            runWithFaults(fleet, routers, random);
             assertWithin(fleet);
         }
     }
 
-    private static void runTroubled(PermitFleet fleet, int routers, Random random) {
-        for (int i = 0; i < TROUBLES; i++) {
-            trouble(fleet, routers, random);
+    private static void runWithFaults(PermitFleet fleet, int routers, Random random) {
+        for (int i = 0; i < FAULTS; i++) {
+            scheduleFault(fleet, routers, random);
         }
         fleet.runUntil(END_MS);
     }
 
-    private static void trouble(PermitFleet fleet, int routers, Random random) {
-        long atMs = NAMED_MS + random.nextInt((int) (END_MS - NAMED_MS));
+    private static void scheduleFault(PermitFleet fleet, int routers, Random random) {
+        long atMs = ANNOUNCED_MS + random.nextInt((int) (END_MS - ANNOUNCED_MS));
         int router = random.nextInt(routers);
         long forMs = 500 + random.nextInt(8_000);
         switch (random.nextInt(3)) {
-            case 0 -> fleet.at(atMs, f -> f.kill(router));
-            case 1 -> fleet.at(atMs, f -> f.stop(router, forMs));
-            default -> fleet.at(atMs, f -> f.cut(1 + router / 2, forMs));
+            case 0 -> fleet.scheduleAt(atMs, f -> f.kill(router));
+            case 1 -> fleet.scheduleAt(atMs, f -> f.suspend(router, forMs));
+            default -> fleet.scheduleAt(atMs, f -> f.partition(1 + router / 2, forMs));
         }
     }
 
     /** Routers end, stop and are cut off while words are lost. */
     @Nested
-    class Troubled {
+    class WithFaults {
         @Property(tries = 150, seed = "31")
-        void isKept(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+        void limitIsRespected(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
             Random random = new Random(seed);
             int routers = 3 + random.nextInt(22);
             double limit = 1 + 20 * random.nextDouble();
             PermitFleet fleet = new PermitFleet(routers, 0.05 * random.nextDouble(), seed);
             fleet.load(evenly(routers), DEMAND, END_MS);
-            fleet.at(NAMED_MS, f -> f.name(OptionalDouble.of(limit)));
-            runTroubled(fleet, routers, random);
-            assertKept(fleet, limit);
+            fleet.scheduleAt(ANNOUNCED_MS, f -> f.announce(OptionalDouble.of(limit)));
+            runWithFaults(fleet, routers, random);
+            assertWithinLimit(fleet, limit);
         }
 
         /** All routers end at one moment, and know of no limit until the server names it again. */
         @Test
-        void isKeptAfterTheLossOfAll() {
+        void limitIsRespectedAfterTheLossOfAllRouters() {
             double limit = 4.5;
             PermitFleet fleet = new PermitFleet(24, 0, 6);
             fleet.load(evenly(24), DEMAND, END_MS);
-            fleet.name(OptionalDouble.of(limit));
-            fleet.at(
+            fleet.announce(OptionalDouble.of(limit));
+            fleet.scheduleAt(
                     10_000,
                     f -> {
                         for (int i = 0; i < 24; i++) {
@@ -214,19 +218,19 @@
                         }
                     });
             fleet.runUntil(END_MS);
-            assertKept(fleet, limit);
+            assertWithinLimit(fleet, limit);
         }
 
         /** Both sides of a cut reach the server. */
         @Test
-        void isSharedByTheSidesOfACut() {
+        void limitIsSharedByBothSidesOfAPartition() {
             double limit = 9;
             PermitFleet fleet = new PermitFleet(8, 0, 8);
             fleet.load(evenly(8), DEMAND, END_MS);
-            fleet.name(OptionalDouble.of(limit));
-            fleet.at(5_000, f -> f.cut(3, 20_000));
+            fleet.announce(OptionalDouble.of(limit));
+            fleet.scheduleAt(5_000, f -> f.partition(3, 20_000));
             fleet.runUntil(END_MS);
-            long inCut = arrived(fleet, 8_000, 25_000);
+            long inCut = arrivalCount(fleet, 8_000, 25_000);
             assertTrue(inCut <= limit * 17 + 5, inCut + " in 17 s of the cut");
             assertTrue(inCut >= 0.85 * limit * 17, inCut + " in 17 s of the cut");
         }
--- a/masticweir/src/test/java/org/masticweir/permits/PermitIssuerTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitIssuerTest.java
@@ -16,28 +16,28 @@
 
     private static final SharedRate EIGHT = SharedRate.ofServer(8);
     private static final int URGENT = 0;
-    private static final int LATER = 3;
+    private static final int LESS_URGENT = 3;
 
     private final PermitIssuer issuer = new PermitIssuer();
 
-    private PermitDecision ask(int urgency, long nowMs) {
-        return ask("r1", urgency, 0, nowMs);
+    private PermitDecision request(int urgency, long nowMs) {
+        return request("r1", urgency, 0, nowMs);
     }
 
-    private PermitDecision ask(String router, int urgency, long sinceMs, long nowMs) {
-        return issuer.ask(RouterId.of(router), KEY, urgency, EIGHT, sinceMs, nowMs);
+    private PermitDecision request(String router, int urgency, long sinceMs, long nowMs) {
+        return issuer.request(RouterId.of(router), KEY, urgency, EIGHT, sinceMs, nowMs);
     }
 
     private int grantedAtOnce(long sinceMs, long nowMs) {
         int granted = 0;
-        while (ask("r1", URGENT, sinceMs, nowMs).isGranted()) {
+        while (request("r1", URGENT, sinceMs, nowMs).isGranted()) {
             granted++;
         }
         return granted;
     }
 
     @Test
-    void savesUpAQuarterOfASecondAndNoMore() {
+    void savesTokensOfAQuarterSecondAtMost() {
         assertEquals(2, grantedAtOnce(0, 60_000));
         assertEquals(0, grantedAtOnce(0, 60_050));
         assertEquals(1, grantedAtOnce(0, 60_125));
@@ -45,51 +45,54 @@
 
     /** What another issuer granted a moment ago would be granted once more. */
     @Test
-    void grantsNothingOfTheTimeBeforeItBecameTheIssuer() {
+    void grantsNoTokensFromBeforeItBecameTheIssuer() {
         assertEquals(0, grantedAtOnce(10_000, 10_050));
         assertEquals(1, grantedAtOnce(10_000, 10_130));
     }
 
     @Test
-    void dropsWhatItSavedUpWhileAnotherRouterMayHaveIssued() {
+    void discardsTokensSavedWhileAnotherRouterMayHaveIssued() {
         grantedAtOnce(0, 1_000);
         assertEquals(0, grantedAtOnce(20_000, 20_050));
     }
 
     /** Lookups would take what bookings wait for. */
     @Test
-    void leavesATokenToMoreUrgentAsksThatWait() {
+    void leavesATokenForWaitingUrgentRequests() {
         grantedAtOnce(0, 1_000);
-        assertFalse(ask(URGENT, 1_050).isGranted());
-        assertFalse(ask("r2", LATER, 0, 1_130).isGranted(), "one token, for the urgent ask");
-        assertTrue(ask(URGENT, 1_140).isGranted());
+        assertFalse(request(URGENT, 1_050).isGranted());
+        assertFalse(
+                request("r2", LESS_URGENT, 0, 1_130).isGranted(), "one token, for the urgent ask");
+        assertTrue(request(URGENT, 1_140).isGranted());
     }
 
     /** What more urgent callers leave must not lie unused. */
     @Test
-    void grantsLessUrgentAsksWhatIsLeft() {
+    void grantsRemainingTokensToLessUrgentRequests() {
         grantedAtOnce(0, 1_000);
-        assertFalse(ask(URGENT, 1_050).isGranted());
-        assertTrue(ask("r2", LATER, 0, 1_260).isGranted(), "two tokens, one for each");
-        assertTrue(ask(URGENT, 1_270).isGranted());
+        assertFalse(request(URGENT, 1_050).isGranted());
+        assertTrue(request("r2", LESS_URGENT, 0, 1_260).isGranted(), "two tokens, one for each");
+        assertTrue(request(URGENT, 1_270).isGranted());
     }
 
     @Test
-    void countsUsesThatDidNotWaitForAPermit() {
+    void countsUsesWithoutAPermit() {
         grantedAtOnce(0, 1_000);
-        issuer.used(KEY, EIGHT, 0, 1_010);
-        assertFalse(ask(URGENT, 1_130).isGranted());
-        assertTrue(ask(URGENT, 1_260).isGranted());
+        issuer.recordUsage(KEY, EIGHT, 0, 1_010);
+        assertFalse(request(URGENT, 1_130).isGranted());
+        assertTrue(request(URGENT, 1_260).isGranted());
     }
 
     @Test
-    void spacesTheAsksOfManyRouters() {
+    void spacesTheRequestsOfManyRouters() {
         for (int i = 0; i < 95; i++) {
-            ask("r" + i, URGENT, 0, 1_000);
+            request("r" + i, URGENT, 0, 1_000);
         }
-        assertTrue(ask("r1", URGENT, 0, 1_001).retryAfterMs() >= 1_000);
-        assertTrue(ask("r1", URGENT, 0, 20_000).isGranted(), "the others have no callers any more");
-        assertTrue(ask("r1", URGENT, 0, 20_001).isGranted());
-        assertTrue(ask("r1", URGENT, 0, 20_002).retryAfterMs() <= 125);
+        assertTrue(request("r1", URGENT, 0, 1_001).retryAfterMs() >= 1_000);
+        assertTrue(
+                request("r1", URGENT, 0, 20_000).isGranted(),
+                "the others have no callers any more");
+        assertTrue(request("r1", URGENT, 0, 20_001).isGranted());
+        assertTrue(request("r1", URGENT, 0, 20_002).retryAfterMs() <= 125);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/permits/ServerLimitsTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/ServerLimitsTest.java
@@ -19,12 +19,12 @@
 
     private final ServerLimits limits = ServerLimits.create();
 
-    private static ServerLimit told(OptionalDouble perSecond, long ageMs) {
+    private static ServerLimit reported(OptionalDouble perSecond, long ageMs) {
         return new ServerLimit(SERVER, perSecond, ageMs);
     }
 
     @Test
-    void beginsAndChangesByTheServersAnswers() {
+    void isSetAndChangedByAnswers() {
         assertTrue(limits.recordAnswer(SERVER, FIVE, 0, 100));
         assertFalse(limits.recordAnswer(SERVER, FIVE, 0, 200));
         assertTrue(limits.recordAnswer(SERVER, AnnouncedLimit.of(2.5), 150, 300));
@@ -33,7 +33,7 @@
 
     /** The head of a stream was written before the server was in need, and comes after its word. */
     @Test
-    void doesNotEndByAnAnswerToARequestThatLeftBeforeIt() {
+    void isNotLiftedByAnAnswerToAnEarlierRequest() {
         limits.recordAnswer(SERVER, FIVE, 0, 100);
         assertFalse(limits.recordAnswer(SERVER, AnnouncedLimit.none(), 90, 200));
         assertTrue(limits.isLimited(SERVER));
@@ -42,23 +42,23 @@
     }
 
     @Test
-    void holdsThroughAnAnswerThatCannotBeRead() {
+    void isKeptOnAnUnreadableAnswer() {
         limits.recordAnswer(SERVER, FIVE, 0, 100);
         assertFalse(limits.recordAnswer(SERVER, AnnouncedLimit.unreadable(), 200, 300));
         assertEquals(OptionalDouble.of(5), limits.perSecond(SERVER));
     }
 
     @Test
-    void isNotChangedByAnOlderWordOfAnotherRouter() {
+    void isNotChangedByAnOlderReport() {
         limits.recordAnswer(SERVER, FIVE, 0, 1_000);
-        assertFalse(limits.told(told(OptionalDouble.empty(), 500), 1_200));
+        assertFalse(limits.merge(reported(OptionalDouble.empty(), 500), 1_200));
         assertTrue(limits.isLimited(SERVER));
-        assertTrue(limits.told(told(OptionalDouble.empty(), 100), 1_200));
+        assertTrue(limits.merge(reported(OptionalDouble.empty(), 100), 1_200));
         assertFalse(limits.isLimited(SERVER));
     }
 
     @Test
-    void belongsToOneLifeOfAServer() {
+    void belongsToOneIncarnation() {
         limits.recordAnswer(SERVER, FIVE, 0, 100);
         ServerIncarnation next = ServerIncarnation.of(ID, 2_000);
         assertFalse(limits.isLimited(next));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void isClosedOnlyWhileItLasts() {
+    void blocksOnlyWhileTheLimitIsSet() {
         limits.recordAnswer(SERVER, FIVE, 0, 100);
         limits.blockUntil(SERVER, 500);
         assertEquals(300, limits.blockedForMs(SERVER, 200));
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
@@ -11,7 +11,7 @@
 import org.masticweir.id.ContentId;
 import org.masticweir.id.EngineId;
 import org.masticweir.id.RouterId;
-import org.masticweir.quarantine.Quarantine.News;
+import org.masticweir.quarantine.Quarantine.ContentUpdate;
 
 /**
  * Routers that share a quarantine, and servers that end and start again, on a clock of their own.
@@ -19,39 +19,39 @@
  */
 final class QuarantineFleet {
     /** Time by which each router has heard of an end, in ms; its link may have to come up first. */
-    static final long WORD_MS = 550;
+    static final long MAX_UPDATE_MS = 550;
 
-    private static final long GATHER_MS = 5;
-    private static final int MOST_DELAY_MS = 20;
-    private static final long LINK_AGAIN_MS = 500;
+    private static final long BATCH_MS = 5;
+    private static final int MAX_DELAY_MS = 20;
+    private static final long RELINK_MS = 500;
     private static final long INQUIRY_MS = 3;
-    private static final long HOLD_MS = 10;
-    private static final long PATIENCE_MS = 2_250;
-    private static final int READ_MS = 1_000;
+    private static final long RETRY_MS = 10;
+    private static final long REQUEST_TIMEOUT_MS = 2_250;
+    private static final int PREFILL_MS = 1_000;
     private static final long RUN_MS = 5_000;
     private static final long CRASH_MS = 80;
     private static final long RESTART_MS = 4_000;
     private static final int ATTEMPTS = 5;
 
     /** Servers that a domain has. */
-    static final int DOMAIN = 5;
+    static final int SERVERS_PER_DOMAIN = 5;
 
     private final Random random;
     private final List<Quarantine> routers = new ArrayList<>();
     private final List<Server> servers = new ArrayList<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long nowMs;
-    private int number;
+    private int nextEventNumber;
 
-    private final Map<ContentId, List<Long>> endsMs = new HashMap<>();
+    private final Map<ContentId, List<Long>> crashesMs = new HashMap<>();
     private final Map<ContentId, List<Long>> sendsMs = new HashMap<>();
     private int submitted;
     private int answered;
-    private int held;
+    private int rejectedCount;
 
-    private record Due(long atMs, int number, Runnable what) implements Comparable<Due> {
+    private record Event(long atMs, int number, Runnable what) implements Comparable<Event> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(Event other) {
             return atMs == other.atMs
                     ? Integer.compare(number, other.number)
                     : Long.compare(atMs, other.atMs);
@@ -60,58 +60,58 @@
 
     private static final class Server {
         private final int index;
-        private final List<Run> runs = new ArrayList<>();
+        private final List<Submission> runs = new ArrayList<>();
         private long startedMs = 1;
-        private boolean up = true;
+        private boolean isUp = true;
 
         Server(int index) {
             this.index = index;
         }
 
-        ServerIncarnation life() {
+        ServerIncarnation incarnation() {
             return ServerIncarnation.of(EngineId.of("i-" + index), startedMs);
         }
     }
 
     /** One submission. */
-    private final class Run {
+    private final class Submission {
         private final int router;
         private final ContentId content;
-        private final boolean harmful;
+        private final boolean isCrashing;
         private final long receivedMs = nowMs;
         private int sends;
         private long sentMs;
         private long beganMs;
-        private boolean onTrial;
-        private boolean over;
+        private boolean isOnTrial;
+        private boolean isDone;
 
-        Run(int router, ContentId content, boolean harmful) {
+        Submission(int router, ContentId content, boolean harmful) {
             this.router = router;
             this.content = content;
-            this.harmful = harmful;
+            this.isCrashing = harmful;
         }
 
         private Quarantine quarantine() {
             return routers.get(router);
         }
 
-        void next() {
-            SendRule rule = quarantine().rule(content, nowMs);
+        void trySend() {
+            SendRule rule = quarantine().sendRule(content, nowMs);
             Optional<Server> server = server(rule);
             if (rule == SendRule.REJECT) {
-                held++;
-                over = true;
-            } else if (sends >= ATTEMPTS || nowMs - receivedMs > PATIENCE_MS && sends == 0) {
-                over = true;
+                rejectedCount++;
+                isDone = true;
+            } else if (sends >= ATTEMPTS || nowMs - receivedMs > REQUEST_TIMEOUT_MS && sends == 0) {
+                isDone = true;
             } else if (rule == SendRule.WAIT || server.isEmpty()) {
-                in(HOLD_MS, this::next);
+                schedule(RETRY_MS, this::trySend);
             } else {
                 send(server.get());
             }
         }
 
         private Optional<Server> server(SendRule rule) {
-            List<Server> up = servers.stream().filter(s -> s.up).toList();
+            List<Server> up = servers.stream().filter(s -> s.isUp).toList();
             if (up.isEmpty()) {
                 return Optional.empty();
             }
@@ -125,78 +125,78 @@
             sentMs = nowMs;
             beganMs = Long.MAX_VALUE;
             sendsMs.computeIfAbsent(content, c -> new ArrayList<>()).add(nowMs);
-            onTrial = quarantine().trialBegins(content, nowMs);
-            tell(router);
+            isOnTrial = quarantine().beginTrial(content, nowMs);
+            broadcast(router);
             server.runs.add(this);
             int send = sends;
-            in(READ_MS + random.nextInt(READ_MS), () -> begins(server, send));
+            schedule(PREFILL_MS + random.nextInt(PREFILL_MS), () -> begin(server, send));
         }
 
-        private boolean isAt(Server server, int send) {
-            return !over && sends == send && server.runs.contains(this);
+        private boolean isRunningAt(Server server, int send) {
+            return !isDone && sends == send && server.runs.contains(this);
         }
 
-        private void begins(Server server, int send) {
-            if (!isAt(server, send)) {
+        private void begin(Server server, int send) {
+            if (!isRunningAt(server, send)) {
                 return;
             }
             beganMs = nowMs;
-            if (harmful) {
-                in(CRASH_MS, () -> crash(server, send));
+            if (isCrashing) {
+                schedule(CRASH_MS, () -> crash(server, send));
                 return;
             }
-            in(Quarantine.TRIAL_MS, () -> runsWell(server, send));
-            in(RUN_MS, () -> ends(server, send));
+            schedule(Quarantine.TRIAL_MS, () -> recordSuccess(server, send));
+            schedule(RUN_MS, () -> finish(server, send));
         }
 
         private void crash(Server server, int send) {
-            if (isAt(server, send)) {
-                endsMs.computeIfAbsent(content, c -> new ArrayList<>()).add(nowMs);
+            if (isRunningAt(server, send)) {
+                crashesMs.computeIfAbsent(content, c -> new ArrayList<>()).add(nowMs);
                 endServer(server);
             }
         }
 
-        private void runsWell(Server server, int send) {
-            if (isAt(server, send)) {
-                quarantine().ranWell(content, nowMs);
-                tell(router);
+        private void recordSuccess(Server server, int send) {
+            if (isRunningAt(server, send)) {
+                quarantine().recordSuccess(content, nowMs);
+                broadcast(router);
             }
         }
 
-        private void ends(Server server, int send) {
-            if (isAt(server, send)) {
-                runsWell(server, send);
+        private void finish(Server server, int send) {
+            if (isRunningAt(server, send)) {
+                recordSuccess(server, send);
                 server.runs.remove(this);
-                leave();
-                over = true;
+                endTrial();
+                isDone = true;
                 answered++;
             }
         }
 
-        private void leave() {
-            if (onTrial) {
-                onTrial = false;
-                quarantine().trialEnded(content);
-                tell(router);
+        private void endTrial() {
+            if (isOnTrial) {
+                isOnTrial = false;
+                quarantine().endTrial(content);
+                broadcast(router);
             }
         }
 
-        void lost(ServerIncarnation life) {
-            leave();
+        void handleLoss(ServerIncarnation incarnation) {
+            endTrial();
             if (nowMs - beganMs >= Quarantine.TRIAL_MS) {
-                next();
+                trySend();
                 return;
             }
-            Loss loss = new Loss(life, sentMs, nowMs);
-            quarantine().inquiryBegins(content, nowMs);
-            in(
+            Loss loss = new Loss(incarnation, sentMs, nowMs);
+            quarantine().beginInquiry(content, nowMs);
+            schedule(
                     INQUIRY_MS,
                     () -> {
-                        quarantine().inquiryEnded(content);
-                        quarantine().ended(content, loss, nowMs);
-                        tell(router);
+                        quarantine().endInquiry(content);
+                        quarantine().recordLoss(content, loss, nowMs);
+                        broadcast(router);
                     });
-            next();
+            trySend();
         }
     }
 
@@ -210,20 +210,20 @@
         }
     }
 
-    void in(long ms, Runnable what) {
-        due.add(new Due(nowMs + ms, number++, what));
+    void schedule(long ms, Runnable what) {
+        events.add(new Event(nowMs + ms, nextEventNumber++, what));
     }
 
     /** Does {@code what} each {@code gapMs} until {@code untilMs}. */
-    void each(long gapMs, long untilMs, Runnable what) {
+    void scheduleEvery(long gapMs, long untilMs, Runnable what) {
         for (long at = gapMs; at <= untilMs; at += gapMs) {
-            in(at, what);
+            schedule(at, what);
         }
     }
 
     void runUntil(long untilMs) {
-        while (!due.isEmpty() && due.peek().atMs() <= untilMs) {
-            Due next = due.poll();
+        while (!events.isEmpty() && events.peek().atMs() <= untilMs) {
+            Event next = events.poll();
             nowMs = next.atMs();
             next.what().run();
         }
@@ -231,12 +231,14 @@
 
     void submit(ContentId content, boolean harmful) {
         submitted++;
-        new Run(random.nextInt(routers.size()), content, harmful).next();
+        new Submission(random.nextInt(routers.size()), content, harmful).trySend();
     }
 
     /** Ends the servers of one domain at one moment. */
     void endDomain(int domain) {
-        servers.stream().filter(s -> s.index / DOMAIN == domain).forEach(this::endServer);
+        servers.stream()
+                .filter(s -> s.index / SERVERS_PER_DOMAIN == domain)
+                .forEach(this::endServer);
     }
 
     void endAnyServer() {
@@ -244,65 +246,67 @@
     }
 
     private void endServer(Server server) {
-        if (!server.up) {
+        if (!server.isUp) {
             return;
         }
-        server.up = false;
-        ServerIncarnation life = server.life();
-        List<Run> lost = List.copyOf(server.runs);
+        server.isUp = false;
+        ServerIncarnation life = server.incarnation();
+        List<Submission> lost = List.copyOf(server.runs);
         server.runs.clear();
-        lost.forEach(r -> r.lost(life));
-        in(
+        lost.forEach(r -> r.handleLoss(life));
+        schedule(
                 RESTART_MS,
                 () -> {
                     server.startedMs = nowMs;
-                    server.up = true;
+                    server.isUp = true;
                 });
     }
 
-    private void tell(int router) {
-        if (!routers.get(router).hasNews()) {
+    private void broadcast(int router) {
+        if (!routers.get(router).hasUpdates()) {
             return;
         }
-        in(
-                GATHER_MS,
+        schedule(
+                BATCH_MS,
                 () -> {
-                    List<News> news = routers.get(router).takeNews(nowMs);
+                    List<ContentUpdate> news = routers.get(router).drainUpdates(nowMs);
                     for (int peer = 0; peer < routers.size() && !news.isEmpty(); peer++) {
-                        tell(router, peer, news);
+                        broadcast(router, peer, news);
                     }
                 });
     }
 
-    private void tell(int router, int peer, List<News> news) {
+    private void broadcast(int router, int peer, List<ContentUpdate> news) {
         if (peer == router) {
             return;
         }
         boolean linkDown = random.nextInt(50) == 0;
         if (linkDown) {
-            in(LINK_AGAIN_MS, () -> take(router, peer, routers.get(router).all(nowMs)));
+            schedule(
+                    RELINK_MS,
+                    () -> handleUpdates(router, peer, routers.get(router).snapshot(nowMs)));
             return;
         }
         int copies = random.nextInt(20) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            in(1 + random.nextInt(MOST_DELAY_MS), () -> take(router, peer, news));
+            schedule(1 + random.nextInt(MAX_DELAY_MS), () -> handleUpdates(router, peer, news));
         }
     }
 
-    private void take(int router, int peer, List<News> news) {
-        news.forEach(n -> routers.get(peer).told(RouterId.of("r" + router), n, nowMs));
+    private void handleUpdates(int router, int peer, List<ContentUpdate> news) {
+        news.forEach(n -> routers.get(peer).handleUpdate(RouterId.of("r" + router), n, nowMs));
     }
 
     /** Returns how many servers ended under {@code content}. */
-    int ended(ContentId content) {
-        return endsMs.getOrDefault(content, List.of()).size();
+    int crashCount(ContentId content) {
+        return crashesMs.getOrDefault(content, List.of()).size();
     }
 
     /**
      * Returns how often {@code content} was sent later than {@code afterMs} after its third end.
      */
-    long sentAfterThird(ContentId content, long afterMs) {
-        List<Long> ends = endsMs.getOrDefault(content, List.of());
+    long sendsAfterThirdCrash(ContentId content, long afterMs) {
+        List<Long> ends = crashesMs.getOrDefault(content, List.of());
         return ends.size() < Quarantine.LIMIT
                 ? 0
                 : sendsMs.get(content).stream()
@@ -313,9 +317,9 @@
     /**
      * Returns how often {@code content} was sent before all routers could know of its first end.
      */
-    long sentUnknowing(ContentId content) {
-        long firstMs = endsMs.get(content).get(0);
-        return sendsMs.get(content).stream().filter(s -> s <= firstMs + WORD_MS).count();
+    long sendsBeforeFirstUpdate(ContentId content) {
+        long firstMs = crashesMs.get(content).get(0);
+        return sendsMs.get(content).stream().filter(s -> s <= firstMs + MAX_UPDATE_MS).count();
     }
 
     int submitted() {
@@ -327,7 +331,7 @@
     }
 
     /** Returns how many submissions ended as their content was held. */
-    int held() {
-        return held;
+    int rejectedCount() {
+        return rejectedCount;
     }
 }
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
@@ -18,17 +18,17 @@
 import org.masticweir.id.EngineId;
 import org.masticweir.id.RouterId;
 import org.masticweir.quarantine.Quarantine.Change;
-import org.masticweir.quarantine.Quarantine.News;
+import org.masticweir.quarantine.Quarantine.ContentUpdate;
 
 /** When a content is not sent any more, and what clears it. */
 class QuarantineTest {
     private static final long HOLD_MS = 3_600_000;
-    private static final ContentId LETTER = ContentId.of("letter");
+    private static final ContentId CONTENT = ContentId.of("letter");
     private static final RouterId PEER = RouterId.of("r2");
 
     private final Quarantine quarantine = Quarantine.create(RouterId.of("r1"), HOLD_MS);
 
-    private static ServerIncarnation life(int number) {
+    private static ServerIncarnation incarnation(int number) {
         return ServerIncarnation.of(EngineId.of("i-" + number), 1_000 + number);
     }
 
@@ -36,41 +36,42 @@
     private static final long RUN_MS = 60;
 
     private static Loss loss(int number, long endedMs) {
-        return new Loss(life(number), endedMs - RUN_MS, endedMs);
+        return new Loss(incarnation(number), endedMs - RUN_MS, endedMs);
     }
 
-    private void endThree(long nowMs) {
+    private void loseThreeServers(long nowMs) {
         for (int i = 0; i < Quarantine.LIMIT; i++) {
-            quarantine.ended(LETTER, loss(i, nowMs), nowMs);
+            quarantine.recordLoss(CONTENT, loss(i, nowMs), nowMs);
         }
     }
 
-    private SendRule rule(long nowMs) {
-        return quarantine.rule(LETTER, nowMs);
+    private SendRule sendRule(long nowMs) {
+        return quarantine.sendRule(CONTENT, nowMs);
     }
 
     /** Evidence and the limit. */
     @Nested
     class Evidence {
         @Test
-        void contentIsNotSentAfterTheLimit() {
-            assertEquals(SendRule.ANY_SERVER, rule(0));
-            assertEquals(Change.SUSPECTED, quarantine.ended(LETTER, loss(1, 0), 0));
-            assertEquals(SendRule.ANY_SERVER, rule(0));
-            assertEquals(Change.SUSPECTED, quarantine.ended(LETTER, loss(2, 0), 0));
-            assertEquals(SendRule.LEAST_LOADED, rule(0));
-            assertEquals(Change.QUARANTINED, quarantine.ended(LETTER, loss(3, 0), 0));
-            assertEquals(SendRule.REJECT, rule(0));
+        void contentIsRejectedFromTheLimitOn() {
+            assertEquals(SendRule.ANY_SERVER, sendRule(0));
+            assertEquals(Change.SUSPECTED, quarantine.recordLoss(CONTENT, loss(1, 0), 0));
+            assertEquals(SendRule.ANY_SERVER, sendRule(0));
+            assertEquals(Change.SUSPECTED, quarantine.recordLoss(CONTENT, loss(2, 0), 0));
+            assertEquals(SendRule.LEAST_LOADED, sendRule(0));
+            assertEquals(Change.QUARANTINED, quarantine.recordLoss(CONTENT, loss(3, 0), 0));
+            assertEquals(SendRule.REJECT, sendRule(0));
         }
 
         /** Two routers had the same letter at one engine, and each lost it there. */
         @Test
-        void serverCountsOnceWhoeverLostIt() {
-            quarantine.ended(LETTER, loss(1, 0), 0);
-            News sameServer = new News(CrashRecord.of(LETTER).with(loss(1, 0)), false);
-            assertEquals(Change.NONE, quarantine.told(PEER, sameServer, 0));
-            assertEquals(Change.NONE, quarantine.ended(LETTER, loss(1, 0), 0));
-            assertEquals(1, quarantine.held(LETTER).size());
+        void serverCountsOnceIfSeveralRoutersLostIt() {
+            quarantine.recordLoss(CONTENT, loss(1, 0), 0);
+            ContentUpdate sameServer =
+                    new ContentUpdate(CrashRecord.of(CONTENT).with(loss(1, 0)), false);
+            assertEquals(Change.NONE, quarantine.handleUpdate(PEER, sameServer, 0));
+            assertEquals(Change.NONE, quarantine.recordLoss(CONTENT, loss(1, 0), 0));
+            assertEquals(1, quarantine.countedLosses(CONTENT).size());
         }
 
         /**
@@ -80,46 +81,46 @@
         @Test
         void serversThatEndTogetherCountOnce() {
             for (int i = 0; i < 4; i++) {
-                quarantine.ended(LETTER, new Loss(life(i), 500, 1_000 + i), 1_010);
+                quarantine.recordLoss(CONTENT, new Loss(incarnation(i), 500, 1_000 + i), 1_010);
             }
-            assertEquals(SendRule.ANY_SERVER, rule(1_010));
-            quarantine.ended(LETTER, new Loss(life(5), 1_020, 2_000), 2_000);
-            quarantine.ended(LETTER, new Loss(life(6), 2_010, 3_000), 3_000);
-            assertEquals(SendRule.REJECT, rule(3_000));
+            assertEquals(SendRule.ANY_SERVER, sendRule(1_010));
+            quarantine.recordLoss(CONTENT, new Loss(incarnation(5), 1_020, 2_000), 2_000);
+            quarantine.recordLoss(CONTENT, new Loss(incarnation(6), 2_010, 3_000), 3_000);
+            assertEquals(SendRule.REJECT, sendRule(3_000));
         }
 
         /** The letter was sent on at once, and its next server ended before it could begin. */
         @Test
-        void serverThatEndsJustAfterAnotherHasHardlyBegun() {
-            quarantine.ended(LETTER, new Loss(life(1), 0, 1_000), 1_000);
-            quarantine.ended(LETTER, new Loss(life(2), 1_001, 1_010), 1_010);
-            quarantine.ended(LETTER, new Loss(life(3), 1_012, 1_020), 1_020);
-            assertEquals(SendRule.ANY_SERVER, rule(1_020));
+        void serverThatEndsJustAfterAnotherDoesNotCount() {
+            quarantine.recordLoss(CONTENT, new Loss(incarnation(1), 0, 1_000), 1_000);
+            quarantine.recordLoss(CONTENT, new Loss(incarnation(2), 1_001, 1_010), 1_010);
+            quarantine.recordLoss(CONTENT, new Loss(incarnation(3), 1_012, 1_020), 1_020);
+            assertEquals(SendRule.ANY_SERVER, sendRule(1_020));
         }
 
         /** A server that starts again under its id and ends again has ended twice. */
         @Test
-        void eachLifeOfAServerCounts() {
+        void eachIncarnationOfAServerCounts() {
             for (int start = 1; start <= Quarantine.LIMIT; start++) {
                 ServerIncarnation life = ServerIncarnation.of(EngineId.of("i-1"), start);
-                quarantine.ended(LETTER, new Loss(life, 0, RUN_MS), RUN_MS);
+                quarantine.recordLoss(CONTENT, new Loss(life, 0, RUN_MS), RUN_MS);
             }
-            assertEquals(SendRule.REJECT, rule(0));
+            assertEquals(SendRule.REJECT, sendRule(0));
         }
 
         /** Another server ends while it is still being found out that the last one did. */
         @Test
-        void lossThatIsLookedIntoIsWaitedFor() {
-            quarantine.inquiryBegins(LETTER, 0);
-            assertEquals(SendRule.WAIT, rule(0));
-            quarantine.inquiryEnded(LETTER);
-            assertEquals(SendRule.ANY_SERVER, rule(1));
+        void requestsWaitDuringAnInquiry() {
+            quarantine.beginInquiry(CONTENT, 0);
+            assertEquals(SendRule.WAIT, sendRule(0));
+            quarantine.endInquiry(CONTENT);
+            assertEquals(SendRule.ANY_SERVER, sendRule(1));
         }
 
         @Test
-        void lossWithoutAnEndLeavesNothingBehind() {
-            quarantine.inquiryBegins(LETTER, 0);
-            quarantine.inquiryEnded(LETTER);
+        void inquiryWithoutALossLeavesNoEntry() {
+            quarantine.beginInquiry(CONTENT, 0);
+            quarantine.endInquiry(CONTENT);
             assertTrue(quarantine.isEmpty());
         }
     }
@@ -128,75 +129,76 @@
     @Nested
     class Clearing {
         @Test
-        void runWithoutHarmClearsWhatWasBefore() {
-            quarantine.ended(LETTER, loss(1, 0), 0);
-            quarantine.ended(LETTER, loss(2, 0), 0);
-            assertEquals(Change.CLEARED, quarantine.ranWell(LETTER, 10));
-            assertEquals(SendRule.ANY_SERVER, rule(10));
-            assertEquals(Change.SUSPECTED, quarantine.ended(LETTER, loss(3, 20), 20));
-            assertEquals(1, quarantine.held(LETTER).size());
+        void runWithoutCrashClearsEarlierLosses() {
+            quarantine.recordLoss(CONTENT, loss(1, 0), 0);
+            quarantine.recordLoss(CONTENT, loss(2, 0), 0);
+            assertEquals(Change.CLEARED, quarantine.recordSuccess(CONTENT, 10));
+            assertEquals(SendRule.ANY_SERVER, sendRule(10));
+            assertEquals(Change.SUSPECTED, quarantine.recordLoss(CONTENT, loss(3, 20), 20));
+            assertEquals(1, quarantine.countedLosses(CONTENT).size());
         }
 
         /** Word of an old loss comes after the word that cleared it. */
         @Test
-        void lateWordDoesNotUndoIt() {
-            quarantine.ended(LETTER, loss(1, 0), 0);
-            quarantine.ranWell(LETTER, 10);
-            News late = new News(CrashRecord.of(LETTER).with(loss(1, 0)), false);
-            quarantine.told(PEER, late, 30);
-            assertEquals(SendRule.ANY_SERVER, rule(30));
+        void lateUpdateDoesNotRestoreAWithdrawnLoss() {
+            quarantine.recordLoss(CONTENT, loss(1, 0), 0);
+            quarantine.recordSuccess(CONTENT, 10);
+            ContentUpdate late = new ContentUpdate(CrashRecord.of(CONTENT).with(loss(1, 0)), false);
+            quarantine.handleUpdate(PEER, late, 30);
+            assertEquals(SendRule.ANY_SERVER, sendRule(30));
         }
 
         /** A connection limit was taken for the end of a server, which then answered. */
         @Test
-        void serverThatAnswersIsNotHeldAgainstAnyContent() {
-            quarantine.ended(LETTER, loss(1, 0), 0);
-            assertEquals(ImmutableList.of(LETTER), quarantine.heldFor(life(1)));
-            assertEquals(Change.CLEARED, quarantine.lives(LETTER, life(1), 5));
+        void serverThatAnswersDoesNotCount() {
+            quarantine.recordLoss(CONTENT, loss(1, 0), 0);
+            assertEquals(ImmutableList.of(CONTENT), quarantine.contentsWithLossOf(incarnation(1)));
+            assertEquals(Change.CLEARED, quarantine.recordAlive(CONTENT, incarnation(1), 5));
         }
 
         /** Sound work that was unlucky three times was refused for an hour. */
         @Test
         void contentIsTriedAgainAfterEachHoldWhichGrows() {
-            endThree(0);
+            loseThreeServers(0);
             long first = Quarantine.FIRST_HOLD_MS;
-            assertEquals(first - 1_000, quarantine.holdLeftMs(LETTER, 1_000));
-            assertEquals(SendRule.REJECT, rule(first - 1));
-            assertEquals(SendRule.LEAST_LOADED, rule(first));
-            quarantine.trialBegins(LETTER, first);
-            assertEquals(SendRule.WAIT, rule(first + 1));
-            quarantine.trialEnded(LETTER);
-            quarantine.inquiryBegins(LETTER, first + 1);
-            assertEquals(SendRule.WAIT, rule(first + 1));
-            quarantine.inquiryEnded(LETTER);
-            Change change = quarantine.ended(LETTER, loss(7, first + 2), first + 2);
+            assertEquals(first - 1_000, quarantine.remainingHoldMs(CONTENT, 1_000));
+            assertEquals(SendRule.REJECT, sendRule(first - 1));
+            assertEquals(SendRule.LEAST_LOADED, sendRule(first));
+            quarantine.beginTrial(CONTENT, first);
+            assertEquals(SendRule.WAIT, sendRule(first + 1));
+            quarantine.endTrial(CONTENT);
+            quarantine.beginInquiry(CONTENT, first + 1);
+            assertEquals(SendRule.WAIT, sendRule(first + 1));
+            quarantine.endInquiry(CONTENT);
+            Change change = quarantine.recordLoss(CONTENT, loss(7, first + 2), first + 2);
             assertEquals(Change.QUARANTINED, change);
-            assertTrue(quarantine.holdLeftMs(LETTER, first + 2) > first);
-            assertEquals(SendRule.REJECT, rule(3 * first));
+            assertTrue(quarantine.remainingHoldMs(CONTENT, first + 2) > first);
+            assertEquals(SendRule.REJECT, sendRule(3 * first));
         }
 
         @Test
         void contentThatRunsWellAfterItsHoldIsCleared() {
-            endThree(0);
-            assertEquals(Change.CLEARED, quarantine.ranWell(LETTER, Quarantine.FIRST_HOLD_MS));
-            assertEquals(SendRule.ANY_SERVER, rule(Quarantine.FIRST_HOLD_MS));
+            loseThreeServers(0);
+            assertEquals(
+                    Change.CLEARED, quarantine.recordSuccess(CONTENT, Quarantine.FIRST_HOLD_MS));
+            assertEquals(SendRule.ANY_SERVER, sendRule(Quarantine.FIRST_HOLD_MS));
         }
 
         @Test
-        void evidenceIsForgottenAfterTheLongestHold() {
-            endThree(0);
-            assertEquals(SendRule.ANY_SERVER, rule(HOLD_MS));
+        void evidenceIsRemovedAfterTheLongestHold() {
+            loseThreeServers(0);
+            assertEquals(SendRule.ANY_SERVER, sendRule(HOLD_MS));
         }
 
         /** Routers told each other of an old content for ever. */
         @Test
-        void wordOfAnotherRouterDoesNotProlongTheHold() {
-            endThree(0);
+        void updateOfAnotherRouterDoesNotProlongTheHold() {
+            loseThreeServers(0);
             long halfMs = Quarantine.FIRST_HOLD_MS / 2;
-            News same = quarantine.all(halfMs).get(0);
+            ContentUpdate same = quarantine.snapshot(halfMs).get(0);
             Quarantine other = Quarantine.create(PEER, HOLD_MS);
-            other.told(RouterId.of("r1"), same, halfMs);
-            assertEquals(halfMs, other.holdLeftMs(LETTER, halfMs));
+            other.handleUpdate(RouterId.of("r1"), same, halfMs);
+            assertEquals(halfMs, other.remainingHoldMs(CONTENT, halfMs));
         }
     }
 
@@ -205,82 +207,86 @@
     class Trials {
         @Test
         void oneCopyRunsAtATime() {
-            quarantine.ended(LETTER, loss(1, 0), 0);
-            assertTrue(quarantine.trialBegins(LETTER, 1));
-            assertEquals(SendRule.WAIT, rule(2));
-            quarantine.trialEnded(LETTER);
-            assertEquals(SendRule.ANY_SERVER, rule(3));
+            quarantine.recordLoss(CONTENT, loss(1, 0), 0);
+            assertTrue(quarantine.beginTrial(CONTENT, 1));
+            assertEquals(SendRule.WAIT, sendRule(2));
+            quarantine.endTrial(CONTENT);
+            assertEquals(SendRule.ANY_SERVER, sendRule(3));
         }
 
         @Test
-        void trialOfAnotherRouterIsWaitedForUntilItIsLost() {
-            CrashRecord record = CrashRecord.of(LETTER).with(loss(1, 0));
-            quarantine.told(PEER, new News(record, true), 0);
-            assertEquals(SendRule.WAIT, rule(1));
-            assertEquals(SendRule.ANY_SERVER, rule(Quarantine.TRIAL_LOST_MS));
-            quarantine.told(PEER, new News(record, true), 20_000);
-            quarantine.forget(PEER);
-            assertEquals(SendRule.ANY_SERVER, rule(20_001));
+        void requestsWaitForAPeersTrialUntilThePeerIsLost() {
+            CrashRecord record = CrashRecord.of(CONTENT).with(loss(1, 0));
+            quarantine.handleUpdate(PEER, new ContentUpdate(record, true), 0);
+            assertEquals(SendRule.WAIT, sendRule(1));
+            assertEquals(SendRule.ANY_SERVER, sendRule(Quarantine.PEER_TRIAL_EXPIRY_MS));
+            quarantine.handleUpdate(PEER, new ContentUpdate(record, true), 20_000);
+            quarantine.removeTrialsOf(PEER);
+            assertEquals(SendRule.ANY_SERVER, sendRule(20_001));
         }
 
         @Test
-        void contentThatNothingIsHeldAgainstIsNotOnTrial() {
-            assertFalse(quarantine.trialBegins(LETTER, 0));
+        void contentWithoutLossesIsNotOnTrial() {
+            assertFalse(quarantine.beginTrial(CONTENT, 0));
         }
     }
 
     /** What routers tell each other. */
     @Nested
-    class Words {
+    class Updates {
         @Test
-        void areTakenOnceAndNotToldOn() {
-            quarantine.ended(LETTER, loss(1, 0), 0);
-            assertEquals(1, quarantine.takeNews(0).size());
-            assertEquals(0, quarantine.takeNews(0).size());
-            CrashRecord told = CrashRecord.of(LETTER).with(loss(2, 0));
-            assertEquals(Change.SUSPECTED, quarantine.told(PEER, new News(told, false), 0));
-            assertEquals(0, quarantine.takeNews(0).size());
+        void areDrainedOnceAndNotForwarded() {
+            quarantine.recordLoss(CONTENT, loss(1, 0), 0);
+            assertEquals(1, quarantine.drainUpdates(0).size());
+            assertEquals(0, quarantine.drainUpdates(0).size());
+            CrashRecord told = CrashRecord.of(CONTENT).with(loss(2, 0));
+            assertEquals(
+                    Change.SUSPECTED,
+                    quarantine.handleUpdate(PEER, new ContentUpdate(told, false), 0));
+            assertEquals(0, quarantine.drainUpdates(0).size());
         }
 
         /** A peer's word comes while this router's own is still to be told. */
         @Test
-        void ofAPeerDoNotReplaceTheOwn() {
-            quarantine.ended(LETTER, loss(1, 0), 0);
-            CrashRecord told = CrashRecord.of(LETTER).with(loss(2, 0));
-            quarantine.told(PEER, new News(told, false), 0);
-            assertEquals(1, quarantine.takeNews(0).size());
+        void ofAPeerDoNotReplaceOwnUpdates() {
+            quarantine.recordLoss(CONTENT, loss(1, 0), 0);
+            CrashRecord told = CrashRecord.of(CONTENT).with(loss(2, 0));
+            quarantine.handleUpdate(PEER, new ContentUpdate(told, false), 0);
+            assertEquals(1, quarantine.drainUpdates(0).size());
         }
 
         /** Words are lost, doubled and come in any order: all routers still agree in the end. */
         @Test
-        void leadToTheSameInAnyOrder() {
+        void leadToTheSameStateInAnyOrder() {
             for (int seed = 0; seed < 200; seed++) {
                 Random random = new Random(seed);
-                List<News> words = new ArrayList<>();
-                CrashRecord record = CrashRecord.of(LETTER);
+                List<ContentUpdate> words = new ArrayList<>();
+                CrashRecord record = CrashRecord.of(CONTENT);
                 for (int i = 0; i < 6; i++) {
                     record =
                             random.nextInt(4) == 0 ? record.withdrawAll() : record.with(loss(i, 0));
-                    words.add(new News(record, false));
-                    words.add(new News(CrashRecord.of(LETTER).with(loss(i, 0)), false));
+                    words.add(new ContentUpdate(record, false));
+                    words.add(new ContentUpdate(CrashRecord.of(CONTENT).with(loss(i, 0)), false));
                 }
                 Quarantine one = quarantineOf(words, random);
                 Quarantine other = quarantineOf(words, random);
-                assertEquals(held(one), held(other), "seed " + seed);
+                assertEquals(lostIncarnations(one), lostIncarnations(other), "seed " + seed);
             }
         }
 
-        private Set<ServerIncarnation> held(Quarantine heard) {
-            return heard.held(LETTER).stream().map(Loss::incarnation).collect(Collectors.toSet());
+        private Set<ServerIncarnation> lostIncarnations(Quarantine quarantine) {
+            return quarantine.countedLosses(CONTENT).stream()
+                    .map(Loss::incarnation)
+                    .collect(Collectors.toSet());
         }
 
-        private Quarantine quarantineOf(List<News> words, Random random) {
-            List<News> shuffled = new ArrayList<>(words);
+        private Quarantine quarantineOf(List<ContentUpdate> words, Random random) {
+            List<ContentUpdate> shuffled = new ArrayList<>(words);
             shuffled.addAll(words.subList(0, random.nextInt(words.size())));
             Collections.shuffle(shuffled, random);
-            Quarantine heard = Quarantine.create(RouterId.of("r3"), HOLD_MS);
-            shuffled.forEach(w -> heard.told(PEER, w, 0));
-            return heard;
+            Quarantine quarantine = Quarantine.create(RouterId.of("r3"), HOLD_MS);
+            shuffled.forEach(w -> quarantine.handleUpdate(PEER, w, 0));
+            return quarantine;
         }
     }
 
@@ -288,14 +294,14 @@
     @Nested
     class Bounds {
         @Test
-        void oldestBelowTheLimitAreForgottenFirst() {
-            endThree(0);
-            for (int i = 0; i < Quarantine.MOST_CONTENTS; i++) {
-                quarantine.ended(ContentId.of("c" + i), loss(i, 1), 1);
+        void oldestBelowTheLimitAreEvictedFirst() {
+            loseThreeServers(0);
+            for (int i = 0; i < Quarantine.MAX_CONTENTS; i++) {
+                quarantine.recordLoss(ContentId.of("c" + i), loss(i, 1), 1);
             }
-            assertEquals(SendRule.REJECT, rule(2));
-            assertEquals(SendRule.ANY_SERVER, quarantine.rule(ContentId.of("c0"), 2));
-            assertEquals(Quarantine.MOST_CONTENTS, quarantine.all(2).size());
+            assertEquals(SendRule.REJECT, sendRule(2));
+            assertEquals(SendRule.ANY_SERVER, quarantine.sendRule(ContentId.of("c0"), 2));
+            assertEquals(Quarantine.MAX_CONTENTS, quarantine.snapshot(2).size());
         }
     }
 }
