--- a/masticweir/src/main/java/org/masticweir/permits/AnnouncedLimit.java
+++ b/masticweir/src/main/java/org/masticweir/permits/AnnouncedLimit.java
@@ -4,7 +4,7 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * What one answer of a server says of the requests that it takes; immutable.
+ * The request limit that one answer of a server announces, if any; immutable.
  *
  * @param perSecond requests a second from all routers together; 0 unless {@code kind} is {@link
  *     Kind#ANNOUNCED}
@@ -13,11 +13,11 @@
     private static final AnnouncedLimit NONE = new AnnouncedLimit(Kind.NONE, 0);
     private static final AnnouncedLimit UNREADABLE = new AnnouncedLimit(Kind.UNREADABLE, 0);
 
-    /** Whether a limit is named. */
+    /** Whether the answer announces a limit. */
     public enum Kind {
         NONE,
         ANNOUNCED,
-        /** There is a limit, but it cannot be read: what was known of the server holds. */
+        /** The answer has a limit that cannot be parsed: the limit known before stays in force. */
         UNREADABLE
     }
 
@@ -26,7 +26,7 @@
         checkArgument(perSecond >= 0 && Double.isFinite(perSecond), "%s a second", perSecond);
     }
 
-    /** Returns the word of an answer that names no limit. */
+    /** Returns the value for an answer without a limit. */
     public static AnnouncedLimit none() {
         return NONE;
     }
@@ -35,7 +35,7 @@
         return UNREADABLE;
     }
 
-    /** Returns the word of an answer that names a limit; unreadable if no server can mean it. */
+    /** Returns the announced limit; unreadable if it is negative or not finite. */
     public static AnnouncedLimit of(double perSecond) {
         return perSecond >= 0 && Double.isFinite(perSecond)
                 ? new AnnouncedLimit(Kind.ANNOUNCED, perSecond)
--- a/masticweir/src/main/java/org/masticweir/permits/IssuerSelector.java
+++ b/masticweir/src/main/java/org/masticweir/permits/IssuerSelector.java
@@ -10,18 +10,21 @@
 import org.masticweir.membership.Rendezvous;
 
 /**
- * Which router issues the permits of a shared rate, as this router knows the others. Thread-safe.
+ * Selects the router that issues the permits of a shared rate, based on the links of this router.
+ * Thread-safe.
  *
- * <p>All routers that are linked with each other choose the same one. Those that are not heard of
- * may be cut off, with one of them issuing the same permits on the far side: this side then grants
- * only the part of the rate that its routers make up, and a router that hears nobody the part of
- * one.
+ * <p>All routers that are linked with each other select the same issuer. Routers without a link may
+ * be on the other side of a network partition, where one of them issues permits for the same rate.
+ * Each side therefore grants only a fraction of the rate: the number of its routers divided by the
+ * number of all known routers. A router without any link grants the fraction of one router.
  */
 final class IssuerSelector {
-    /** How long a router that is not heard of is reckoned with, in ms: longer than most cuts. */
+    /**
+     * Time for which a router without a link is still counted, in ms: longer than most partitions.
+     */
     private static final long ROUTER_EXPIRY_MS = 60_000;
 
-    /** Keys whose issuer is remembered. */
+    /** Maximum number of keys whose issuer is cached. */
     private static final int MAX_CACHED_KEYS = 4_096;
 
     private final RouterId self;
@@ -35,7 +38,7 @@
         linksChangedMs = nowMs;
     }
 
-    /** There is a router, linked or not. */
+    /** Adds a router, whether it is linked or not. */
     synchronized void addRouter(RouterId router, long nowMs) {
         if (!router.equals(self)) {
             lastSeenMs.put(router, nowMs);
@@ -61,12 +64,12 @@
         linksChangedMs = nowMs;
     }
 
-    /** Returns when a link came up or was lost last: issuers may be others since then. */
+    /** Returns when a link last came up or was lost: issuers may have changed at that time. */
     synchronized long linksChangedMs() {
         return linksChangedMs;
     }
 
-    /** Returns the router that issues the permits of {@code key}; may be this one. */
+    /** Returns the router that issues the permits of {@code key}; may be this router. */
     synchronized RouterId issuer(PermitKey key) {
         if (issuers.size() >= MAX_CACHED_KEYS) {
             issuers.clear();
@@ -80,7 +83,10 @@
         return Rendezvous.first(key.value(), candidates, 1).get(0);
     }
 
-    /** Returns the part of a rate that this router's side may grant, above 0 and at most 1. */
+    /**
+     * Returns the fraction of a rate that this router and those linked with it may grant, above 0
+     * and at most 1.
+     */
     synchronized double reachableFraction(long nowMs) {
         lastSeenMs
                 .entrySet()
--- a/masticweir/src/main/java/org/masticweir/permits/LimitUpdate.java
+++ b/masticweir/src/main/java/org/masticweir/permits/LimitUpdate.java
@@ -16,7 +16,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Tells another router which limits servers have named, or named no more; immutable. */
+/** Reports to another router which limits servers announced or lifted; immutable. */
 public record LimitUpdate(List<ServerLimit> limits) implements PeerMessage {
     private static final int LIMIT_FIELDS = 5;
     private static final int MAX_LIMITS = 16_384;
@@ -27,10 +27,10 @@
     }
 
     /**
-     * What is known of one server.
+     * The latest limit of one server.
      *
-     * @param perSecond requests a second; empty if it names no limit any more
-     * @param ageMs how long ago its answer came
+     * @param perSecond requests a second; empty if the server has lifted its limit
+     * @param ageMs time since the server's answer arrived
      */
     record ServerLimit(ServerIncarnation server, OptionalDouble perSecond, long ageMs) {
         ServerLimit {
--- a/masticweir/src/main/java/org/masticweir/permits/PermitDecision.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitDecision.java
@@ -3,9 +3,9 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * The answer to one ask for a permit; immutable.
+ * The decision on one permit request; immutable.
  *
- * @param retryAfterMs when it is of use to ask again, in ms from now; 0 if granted
+ * @param retryAfterMs time until another request may be granted, in ms; 0 if granted
  */
 public record PermitDecision(boolean isGranted, long retryAfterMs) {
     private static final PermitDecision GRANTED = new PermitDecision(true, 0);
--- a/masticweir/src/main/java/org/masticweir/permits/PermitIssuer.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitIssuer.java
@@ -10,26 +10,31 @@
 import org.masticweir.id.RouterId;
 
 /**
- * Grants permits for the shared rates whose issuer this router is. Thread-safe: each call holds one
+ * Grants permits for the shared rates that this router issues. Thread-safe: each call holds one
  * lock for a short time.
  *
- * <p>A permit is one use by whoever asked for it, so that the parts of routers follow their demand
- * and no fraction of a use is rounded up at each of them.
+ * <p>A permit allows the requesting router one use. The routers' shares of a rate thereby follow
+ * their demand, and no router rounds a fraction of a use up.
  */
 final class PermitIssuer {
-    /** Rates remembered; the one asked for longest ago is dropped first. */
+    /** Maximum number of rates stored; the least recently used one is evicted first. */
     private static final int MAX_RATES = 16_384;
 
-    /** Asks for one permit that are enough to have each of them used. */
+    /** Requests for each available permit that are enough for all permits to be used. */
     private static final double REQUESTS_PER_PERMIT = 4;
 
-    /** Tokens that there must be for an ask while more urgent ones wait: one is left to those. */
+    /** Tokens required while more urgent requests wait, so that one token is left for them. */
     private static final double TOKENS_TO_LEAVE_ONE = 2;
 
-    /** Longest time after which a router may ask again, in ms: its callers may be the only ones. */
+    /**
+     * Longest time for which a router is denied, in ms: its callers may be the only ones with
+     * demand.
+     */
     private static final long MAX_RETRY_AFTER_MS = 2_000;
 
-    /** How long a router that asked counts as one that has callers for the rate, in ms. */
+    /**
+     * Time after its last request for which a router counts as having callers for the rate, in ms.
+     */
     private static final long REQUESTER_EXPIRY_MS = MAX_RETRY_AFTER_MS + 1_000;
 
     private static final double MS_PER_SECOND = 1_000;
@@ -42,12 +47,12 @@
                 }
             };
 
-    /** One rate and the routers that ask for it, by when they last did. */
+    /** One rate and the routers that request it, ordered by the time of their last request. */
     private static final class RateState {
         private final TokenBucket bucket;
         private final Map<RouterId, Long> requesters = new LinkedHashMap<>(16, 0.75f, true);
 
-        /** By urgency, until when an ask that was denied is waited for. */
+        /** The time until which a token is reserved for denied requests, by their urgency. */
         private final NavigableMap<Integer, Long> waitingUntilMs = new TreeMap<>();
 
         private long lastRequestMs;
@@ -57,7 +62,10 @@
             lastRequestMs = sinceMs;
         }
 
-        /** Another router may have issued the permits before {@code sinceMs}. */
+        /**
+         * Discards saved tokens if the last request came before {@code sinceMs}, as another router
+         * may have issued permits between the two.
+         */
         void discardTokensBefore(long sinceMs) {
             if (lastRequestMs < sinceMs) {
                 bucket.emptyAt(sinceMs);
@@ -73,14 +81,17 @@
             }
         }
 
-        /** Returns the tokens that there must be for an ask. */
+        /** Returns the number of tokens required to grant a request. */
         double requiredTokens(int urgency, SharedRate rate, long nowMs) {
             boolean hasMoreUrgentWaiting =
                     waitingUntilMs.headMap(urgency).values().stream().anyMatch(t -> t > nowMs);
             return hasMoreUrgentWaiting ? Math.min(TOKENS_TO_LEAVE_ONE, rate.burst()) : 1;
         }
 
-        /** Returns the pause at which all askers together ask often enough, in ms. */
+        /**
+         * Returns the interval between two requests of one router at which all routers together
+         * send enough requests, in ms.
+         */
         long requestIntervalMs(SharedRate rate) {
             return (long)
                     (requesters.size() * MS_PER_SECOND / (REQUESTS_PER_PERMIT * rate.perSecond()));
@@ -88,12 +99,12 @@
     }
 
     /**
-     * Decides on one use.
+     * Decides on a permit for one use.
      *
-     * @param urgency 0 for the first to be served
-     * @param rate what this router may grant of the shared rate
-     * @param sinceMs when another router may have become or ceased to be the issuer at the latest:
-     *     what that one has granted is not granted again
+     * @param urgency 0 is the most urgent
+     * @param rate the fraction of the shared rate that this router may grant
+     * @param sinceMs the latest time at which the issuer may have changed: tokens from before that
+     *     time are not granted, as the previous issuer may have granted them
      */
     synchronized PermitDecision request(
             RouterId requester,
@@ -115,7 +126,7 @@
         return PermitDecision.denied(retryAfterMs);
     }
 
-    /** Counts a use that nobody asked for. */
+    /** Counts a use that was made without a permit. */
     synchronized void recordUsage(PermitKey key, SharedRate rate, long sinceMs, long nowMs) {
         updatedState(key, rate, sinceMs, nowMs).bucket.forceTake(nowMs);
     }
--- a/masticweir/src/main/java/org/masticweir/permits/PermitKey.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitKey.java
@@ -6,7 +6,7 @@
 import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.catalog.ServiceName;
 
-/** Names one rate that all routers share; immutable. */
+/** The key of one rate that all routers share; immutable. */
 public record PermitKey(String value) {
     static final int MAX_CHARS = 300;
 
@@ -15,12 +15,12 @@
         checkArgument(!value.isEmpty() && value.length() <= MAX_CHARS, "key %s", value);
     }
 
-    /** Returns the key of the limit that a server names. */
+    /** Returns the key of the limit that a server announces. */
     public static PermitKey ofServer(ServerIncarnation server) {
         return new PermitKey("server/" + server);
     }
 
-    /** Returns the key of the repeats for a service beyond the routers' own shares. */
+    /** Returns the key of the retries for a service that exceed the routers' own shares. */
     public static PermitKey ofRepeats(ServiceName service) {
         return new PermitKey("repeats/" + service.value());
     }
--- a/masticweir/src/main/java/org/masticweir/permits/PermitReply.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitReply.java
@@ -6,7 +6,7 @@
 import org.masticweir.peer.MessageCodec;
 import org.masticweir.peer.PeerMessage;
 
-/** Answers a {@link PermitRequest}; immutable. */
+/** The reply to a {@link PermitRequest}; immutable. */
 public record PermitReply(PermitDecision decision) implements PeerMessage {
     private static final int FIELDS = 2;
 
--- a/masticweir/src/main/java/org/masticweir/permits/PermitRequest.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitRequest.java
@@ -10,11 +10,11 @@
 import org.msgpack.core.MessagePacker;
 
 /**
- * Asks for one use of a shared rate; the reply is a {@link PermitReply}.
+ * Requests a permit for one use of a shared rate; the reply is a {@link PermitReply}.
  *
- * @param urgency 0 for the first to be served
- * @param rate the whole rate, as the asker knows it
- * @param isForwarded whether a router has passed it on, as it holds another one for the issuer
+ * @param urgency 0 is the most urgent
+ * @param rate the whole rate that the requesting router has observed
+ * @param isForwarded whether a router that was not the issuer has forwarded this request
  */
 public record PermitRequest(PermitKey key, int urgency, SharedRate rate, boolean isForwarded)
         implements PeerMessage {
--- a/masticweir/src/main/java/org/masticweir/permits/RateUsageReport.java
+++ b/masticweir/src/main/java/org/masticweir/permits/RateUsageReport.java
@@ -10,9 +10,9 @@
 import org.msgpack.core.MessagePacker;
 
 /**
- * Tells of a use of a shared rate that could not wait for a permit.
+ * Reports a use of a shared rate that could not wait for a permit.
  *
- * @param rate the whole rate, as the sender knows it
+ * @param rate the whole rate that the sender has observed
  */
 public record RateUsageReport(PermitKey key, SharedRate rate) implements PeerMessage {
     private static final int FIELDS = 3;
--- a/masticweir/src/main/java/org/masticweir/permits/ServerLimits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/ServerLimits.java
@@ -11,13 +11,13 @@
 import org.masticweir.permits.LimitUpdate.ServerLimit;
 
 /**
- * Which servers limit the requests that they take, by their own answers and the words of other
- * routers; owned by the traffic thread.
+ * The request limits of servers, based on the servers' answers and on updates from other routers;
+ * owned by the traffic thread.
  */
 public final class ServerLimits {
     private final Map<ServerIncarnation, Limit> limits = new HashMap<>();
 
-    /** What is known of one server. */
+    /** The state of one server's limit. */
     private static final class Limit {
         private OptionalDouble perSecond = OptionalDouble.empty();
         private long asOfMs = Long.MIN_VALUE;
@@ -31,12 +31,12 @@
     }
 
     /**
-     * Takes what an answer says; returns whether what is known has changed.
+     * Applies an answer of a server; returns whether the stored limit has changed.
      *
-     * <p>Answers overtake each other: one without a limit ends it only if its request left after
-     * the limit was last heard of.
+     * <p>Answers may arrive out of order: an answer without a limit lifts the limit only if its
+     * request was sent after the limit was last reported.
      *
-     * @param sentMs when the answered request left
+     * @param sentMs when the answered request was sent
      */
     public boolean recordAnswer(
             ServerIncarnation server, AnnouncedLimit announced, long sentMs, long nowMs) {
@@ -52,7 +52,10 @@
         return isLifted && set(server, OptionalDouble.empty(), nowMs);
     }
 
-    /** Takes the word of another router unless a newer one is known; returns whether it is news. */
+    /**
+     * Applies another router's report unless the stored limit is as new; returns whether the limit
+     * has changed.
+     */
     boolean merge(ServerLimit reported, long nowMs) {
         Limit known = limits.get(reported.server());
         long asOfMs = nowMs - reported.ageMs();
@@ -68,13 +71,13 @@
         return changed;
     }
 
-    /** Returns the requests a second that a server takes of all routers; empty if it named none. */
+    /** Returns a server's limit in requests a second from all routers; empty if it has none. */
     public OptionalDouble perSecond(ServerIncarnation server) {
         Limit limit = find(server);
         return limit == null ? OptionalDouble.empty() : limit.perSecond;
     }
 
-    /** Asked for each server before each send; mostly there are no limits at all. */
+    /** Called for each server before each send; in most deployments no server has a limit. */
     private Limit find(ServerIncarnation server) {
         return limits.isEmpty() ? null : limits.get(server);
     }
@@ -83,12 +86,12 @@
         return perSecond(server).isPresent();
     }
 
-    /** Returns how long ago a server's limit was last heard of, in ms. */
+    /** Returns the time since a server's limit was last reported, in ms. */
     long ageMs(ServerIncarnation server, long nowMs) {
         return nowMs - limits.get(server).asOfMs;
     }
 
-    /** No permit for a server is to be had before {@code untilMs}. */
+    /** Sets the time before which no permit for a server is available. */
     public void blockUntil(ServerIncarnation server, long untilMs) {
         Limit limit = limits.get(server);
         if (limit != null) {
@@ -96,24 +99,26 @@
         }
     }
 
-    /** Returns how long no permit for a server is to be had, in ms; 0 if one may be. */
+    /**
+     * Returns the time until a permit for a server may be available, in ms; 0 if one may be now.
+     */
     public long blockedForMs(ServerIncarnation server, long nowMs) {
         Limit limit = find(server);
         boolean isLimited = limit != null && limit.perSecond.isPresent();
         return isLimited && limit.blockedUntilMs > nowMs ? limit.blockedUntilMs - nowMs : 0;
     }
 
-    /** Forgets servers that are gone. */
+    /** Removes all servers that are not in {@code present}. */
     void retain(Set<ServerIncarnation> present) {
         limits.keySet().retainAll(present);
     }
 
-    /** Returns how many servers limit what they take. */
+    /** Returns the number of servers that have a limit. */
     long count() {
         return limits.values().stream().filter(l -> l.perSecond.isPresent()).count();
     }
 
-    /** Returns what a router is told that knows nothing. */
+    /** Returns all limits, for a router that has just been linked. */
     ImmutableList<ServerLimit> snapshot(long nowMs) {
         return limits.entrySet().stream()
                 .map(
--- a/masticweir/src/main/java/org/masticweir/permits/SharedLimits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/SharedLimits.java
@@ -18,8 +18,8 @@
 import org.masticweir.time.Clock;
 
 /**
- * The limits that servers name, with what belongs to each change of one: a log line, a count and
- * the word to the other routers; owned by the traffic thread.
+ * The limits that servers announce. Each change of a limit is logged and counted, and a change that
+ * this router observed is sent to the other routers. Owned by the traffic thread.
  */
 public final class SharedLimits {
     private static final Logger LOG = LogManager.getLogger(SharedLimits.class);
@@ -35,7 +35,7 @@
     /**
      * Creates the limits of one router.
      *
-     * @param broadcast tells all other routers
+     * @param broadcast sends an update to all other routers
      */
     public SharedLimits(
             ServerLimits limits,
@@ -53,17 +53,17 @@
     }
 
     /**
-     * A server answered.
+     * Handles an answer of a server.
      *
-     * @param request the request it answered, for the log
-     * @param sentMs when that request left
+     * @param request the answered request, for the log
+     * @param sentMs when that request was sent
      */
     public void handleAnswer(
             ServerIncarnation server, AnnouncedLimit announced, String request, long sentMs) {
         long now = clock.nowMs();
         if (announced.kind() == AnnouncedLimit.Kind.UNREADABLE) {
             unreadable.inc();
-            LOG.info("limits: {} names one that cannot be read, answer to {}", server, request);
+            LOG.info("limits: {} announces an unreadable limit, answer to {}", server, request);
             return;
         }
         OptionalDouble before = limits.perSecond(server);
@@ -74,24 +74,24 @@
         }
     }
 
-    /** Another router told what it knows. */
+    /** Handles an update from another router. */
     public void handleUpdate(RouterId peer, LimitUpdate update) {
         long now = clock.nowMs();
         for (ServerLimit limit : update.limits()) {
             OptionalDouble before = limits.perSecond(limit.server());
             if (limits.merge(limit, now)) {
-                recordChange(limit.server(), before, limit.perSecond(), "word of " + peer);
+                recordChange(limit.server(), before, limit.perSecond(), "update from " + peer);
             }
         }
     }
 
-    /** Returns all that a router is told which knows nothing; empty if there is nothing to tell. */
+    /** Returns all limits, for a router that has just been linked; empty if there are none. */
     public Optional<LimitUpdate> snapshot() {
         ImmutableList<ServerLimit> all = limits.snapshot(clock.nowMs());
         return all.isEmpty() ? Optional.empty() : Optional.of(new LimitUpdate(all));
     }
 
-    /** A server is asked for its state, which may not wait and yet is a request to it. */
+    /** Counts a status probe: it is a request to the server, but must not wait for a permit. */
     public void recordProbe(ServerIncarnation server) {
         limits.perSecond(server)
                 .ifPresent(
@@ -102,10 +102,10 @@
     }
 
     /**
-     * Asks for a permit to send one request to a server; a denial closes the server here for as
-     * long as it says.
+     * Requests a permit to send one request to a server. After a denial this router requests no
+     * permit for the server until the time that the decision states.
      *
-     * @param urgency 0 for the first to be served
+     * @param urgency 0 is the most urgent
      */
     public void requestPermit(
             ServerIncarnation server, int urgency, Consumer<PermitDecision> callback) {
@@ -126,7 +126,7 @@
                 });
     }
 
-    /** Returns what is known of a server's limit and how old it is, for the log. */
+    /** Returns a server's limit and its age, for the log. */
     public String describe(ServerIncarnation server) {
         OptionalDouble perSecond = limits.perSecond(server);
         return perSecond.isEmpty()
@@ -137,7 +137,7 @@
                         + " ms ago";
     }
 
-    /** Forgets servers that are gone. */
+    /** Removes all servers that are not in {@code present}. */
     public void retain(Set<ServerIncarnation> present) {
         limits.retain(present);
         updateCount();
@@ -152,7 +152,7 @@
         changes.inc();
         updateCount();
         LOG.info(
-                "limits: {} takes {}, {} before, {}",
+                "limits: {} accepts {}, before {}, {}",
                 server,
                 perSecond(after),
                 perSecond(before),
--- a/masticweir/src/main/java/org/masticweir/permits/SharedPermits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/SharedPermits.java
@@ -16,22 +16,26 @@
 import org.masticweir.time.Clock;
 
 /**
- * Gets permits from the router that issues them, and issues those that this router is to.
+ * Requests permits from the routers that issue them, and issues those whose issuer is this router.
  * Thread-safe.
  *
- * <p>Load that it answers: a server takes a few requests a second from hundreds of routers. Kept by
- * each router apart, such a limit is multiplied by their number, or rounded up at each.
+ * <p>A server may accept a few requests a second from hundreds of routers together. If each router
+ * applied the limit on its own, the total would be the limit multiplied by the number of routers;
+ * if each applied its share, every router would round it up.
  */
 public final class SharedPermits {
     private static final Logger LOG = LogManager.getLogger(SharedPermits.class);
 
-    /** Time for an issuer's answer, in ms: many times a way, and short beside a goal. */
+    /**
+     * Timeout of a permit request, in ms: many times the network delay, and short compared with a
+     * latency goal.
+     */
     private static final long REQUEST_TIMEOUT_MS = 100;
 
-    /** Time for the answer to an ask that is passed on, in ms. */
+    /** Timeout of a forwarded permit request, in ms. */
     private static final long FORWARD_TIMEOUT_MS = 60;
 
-    /** Pause before an issuer that did not answer is asked again, in ms. */
+    /** Pause after a permit request without a reply, in ms. */
     private static final long UNANSWERED_RETRY_MS = 250;
 
     private final RouterId self;
@@ -47,7 +51,7 @@
     /**
      * Creates the permits of one router.
      *
-     * @param traffic runs what hears the answers
+     * @param traffic runs the callbacks that receive the decisions
      */
     public SharedPermits(
             RouterId self,
@@ -65,7 +69,7 @@
         unanswered = metrics.counter(MetricName.of("permit_asks_unanswered_total"));
     }
 
-    /** There is a router; it may issue permits once it is linked. */
+    /** Adds a router; it may issue permits once it is linked. */
     public void addRouter(RouterId router) {
         issuers.addRouter(router, clock.nowMs());
     }
@@ -79,10 +83,11 @@
     }
 
     /**
-     * Asks for one use of a rate; called on the traffic thread.
+     * Requests a permit for one use of a rate; called on the traffic thread.
      *
-     * @param urgency 0 for the first to be served
-     * @param callback hears the decision on the traffic thread, at once if this router issues it
+     * @param urgency 0 is the most urgent
+     * @param callback receives the decision on the traffic thread; called before this method
+     *     returns if this router is the issuer
      */
     public void request(
             PermitKey key, int urgency, SharedRate rate, Consumer<PermitDecision> callback) {
@@ -100,7 +105,9 @@
                         });
     }
 
-    /** Answers another router. */
+    /**
+     * Replies to a permit request of another router; forwards it if a third router is the issuer.
+     */
     public void handleRequest(RouterId requester, PermitRequest request, Reply reply) {
         RouterId issuerId = issuers.issuer(request.key());
         if (request.isForwarded() || issuerId.equals(self)) {
@@ -119,7 +126,7 @@
                                                 decision(issuerId, request.key(), answer, error))));
     }
 
-    /** Counts a use that could not wait for a permit: it leaves less to those who ask. */
+    /** Reports a use that could not wait for a permit, so that the issuer grants fewer permits. */
     void reportUsage(PermitKey key, SharedRate rate) {
         RouterId issuerId = issuers.issuer(key);
         if (issuerId.equals(self)) {
@@ -129,7 +136,7 @@
         }
     }
 
-    /** Takes the word of a use, from this router or another. */
+    /** Counts a use without a permit, by this router or another. */
     public void handleUsage(RateUsageReport report) {
         long now = clock.nowMs();
         SharedRate localRate = report.rate().scaledBy(issuers.reachableFraction(now));
@@ -158,10 +165,10 @@
         }
         unanswered.inc();
         LOG.info(
-                "permits: {} does not answer for {}, {}",
+                "permits: no decision from {} for {}, {}",
                 issuerId,
                 key,
-                error == null ? "its reply is not understood" : error.getMessage());
+                error == null ? "unexpected reply" : error.getMessage());
         return PermitDecision.denied(UNANSWERED_RETRY_MS);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/permits/TokenBucket.java
+++ b/masticweir/src/main/java/org/masticweir/permits/TokenBucket.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.base.Preconditions.checkNotNull;
 
-/** Grants uses of one rate; not thread-safe. */
+/** A token bucket for one rate; not thread-safe. */
 final class TokenBucket {
     private static final double MS_PER_SECOND = 1_000;
 
@@ -16,20 +16,20 @@
         lastRefillMs = emptyMs;
     }
 
-    /** Drops what was saved up before {@code ms}. */
+    /** Discards the tokens saved before {@code ms}. */
     void emptyAt(long ms) {
         tokens = 0;
         lastRefillMs = ms;
     }
 
-    /** Goes on with another rate; what was saved up at the former one stays, within its burst. */
+    /** Changes the rate; saved tokens are kept up to the burst of the new rate. */
     void setRate(SharedRate next, long nowMs) {
         refill(nowMs);
         rate = checkNotNull(next, "next");
         tokens = Math.min(tokens, rate.burst());
     }
 
-    /** Takes a token if there are {@code least} of them. */
+    /** Takes a token if at least {@code requiredTokens} are available. */
     boolean tryTake(double requiredTokens, long nowMs) {
         refill(nowMs);
         if (tokens < requiredTokens) {
@@ -39,13 +39,16 @@
         return true;
     }
 
-    /** Takes a token for a use that is over: if there is none, the next one is not granted. */
+    /**
+     * Takes a token for a use that has already been made. The balance may become negative, down to
+     * the burst, which delays the next grants.
+     */
     void forceTake(long nowMs) {
         refill(nowMs);
         tokens = Math.max(-rate.burst(), tokens - 1);
     }
 
-    /** Returns the time until there are {@code least} tokens, in ms. */
+    /** Returns the time until {@code requiredTokens} are available, in ms. */
     long waitMs(double requiredTokens, long nowMs) {
         refill(nowMs);
         return (long)
--- a/masticweir/src/main/java/org/masticweir/permits/package-info.java
+++ b/masticweir/src/main/java/org/masticweir/permits/package-info.java
@@ -1,2 +1,2 @@
-/** Rates that all routers share: what servers limit, and one permit for each use of it. */
+/** Rate limits that all routers share, and the permits for their uses. */
 package org.masticweir.permits;
--- a/masticweir/src/test/java/org/masticweir/permits/PermitFleet.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitFleet.java
@@ -23,34 +23,34 @@
 import org.masticweir.time.Clock;
 
 /**
- * Routers before one server that names a limit, and those that repeat requests, on a clock of their
- * own. Words between them take their time and may be lost, and routers are ended, stopped and cut
- * off.
+ * Simulates routers that send requests to one server with a limit, and routers that retry requests.
+ * Messages between routers are delayed and may be lost. Routers can be killed, suspended and
+ * partitioned.
  */
 final class PermitFleet {
     static final ServerIncarnation SERVER =
             ServerIncarnation.ofUnknownStart(EngineId.of("i-limited"));
 
-    /** Repeats that all routers may send in ten seconds beyond their own shares. */
+    /** Retries that all routers together may send in ten seconds beyond their own shares. */
     static final double ALLOWED_RETRIES = 150;
 
     private static final PermitKey RETRIES = PermitKey.ofRepeats(ServiceName.of("reports"));
     private static final SharedRate ALLOWANCE = SharedRate.ofAllowance(ALLOWED_RETRIES);
 
-    /** Time after which a link without a sign of life is given up, in ms. */
+    /** Time without a message after which a link is closed, in ms. */
     private static final long SILENCE_MS = 2_000;
 
-    /** Longest time until a link that may come up again does, in ms. */
+    /** Longest time until a link is restored once its routers can reach each other, in ms. */
     private static final int MAX_RELINK_MS = 500;
 
     private static final int MAX_DELAY_MS = 20;
     private static final int SERVER_DELAY_MS = 2;
     private static final int ANSWER_MS = 60;
 
-    /** How long a router restarts for, in ms. */
+    /** Time that the restart of a router takes, in ms. */
     private static final long RESTART_MS = 1_000;
 
-    /** Most asks of one request: the servers that it would try. */
+    /** Maximum number of permit requests for one request: the servers that it would try. */
     private static final int MAX_PERMIT_REQUESTS = 2;
 
     private final Random random;
@@ -65,7 +65,7 @@
     private int nextEventNumber;
     private int permitRequestsSent;
 
-    /** A request that came to the server. */
+    /** A request that arrived at the server. */
     record Arrival(long atMs, int router, boolean mustComply) {}
 
     private record Event(long atMs, int number, Runnable what) implements Comparable<Event> {
@@ -119,11 +119,11 @@
             mustComplyFromMs = Long.MAX_VALUE;
         }
 
-        private void broadcast(LimitUpdate news) {
-            linked.forEach(peer -> send(nodes.get(peer).id, news));
+        private void broadcast(LimitUpdate update) {
+            linked.forEach(peer -> send(nodes.get(peer).id, update));
         }
 
-        /** Runs {@code what} here, when the process next runs, unless it is another one then. */
+        /** Runs {@code what} in this process when it is not suspended, unless it has restarted. */
         private void runInProcess(Runnable what) {
             int then = incarnation;
             runOrDefer(
@@ -186,7 +186,7 @@
             };
         }
 
-        /** A request of a caller comes. */
+        /** Handles a request of a caller. */
         private void request(int asksLeft) {
             if (!limits.isLimited(SERVER)) {
                 sendToServer();
@@ -204,7 +204,7 @@
             }
         }
 
-        /** A request is to be sent again, for which this router's own requests do not allow. */
+        /** Handles a retry that exceeds this router's own retry budget. */
         private void retry() {
             if (nowMs < retriesBlockedUntilMs) {
                 return;
@@ -224,16 +224,16 @@
 
         private void sendToServer() {
             long sentMs = nowMs;
-            boolean told = nowMs >= mustComplyFromMs;
-            schedule(SERVER_DELAY_MS, () -> arrivals.add(new Arrival(nowMs, index, told)));
+            boolean mustComply = nowMs >= mustComplyFromMs;
+            schedule(SERVER_DELAY_MS, () -> arrivals.add(new Arrival(nowMs, index, mustComply)));
             schedule(
                     SERVER_DELAY_MS + random.nextInt(ANSWER_MS),
                     () -> {
-                        AnnouncedLimit word =
+                        AnnouncedLimit announced =
                                 limit.isPresent()
                                         ? AnnouncedLimit.of(limit.getAsDouble())
                                         : AnnouncedLimit.none();
-                        runInProcess(() -> handleAnswer(word, sentMs));
+                        runInProcess(() -> handleAnswer(announced, sentMs));
                     });
         }
 
@@ -245,13 +245,13 @@
         }
     }
 
-    /** Time in which a router that was told has to keep to a limit, in ms. */
+    /** Time after the announcement of a limit within which a router must comply with it, in ms. */
     static final long COMPLIANCE_MS = 500;
 
     /**
      * Creates routers that all know each other, with links that come up one after the other.
      *
-     * @param lost part of the words between them that is lost
+     * @param lost fraction of the messages between routers that is lost
      */
     PermitFleet(int routers, double lost, long seed) {
         random = new Random(seed);
@@ -280,7 +280,7 @@
         nowMs = untilMs;
     }
 
-    /** From now on the server names this limit in its answers; empty if it names none. */
+    /** Sets the limit that the server announces from now on; empty for no limit. */
     void announce(OptionalDouble perSecond) {
         limit = perSecond;
     }
@@ -296,7 +296,7 @@
         }
     }
 
-    /** Has each router repeat its share of {@code perSecond} requests until {@code untilMs}. */
+    /** Gives each router its share of {@code perSecond} retries until {@code untilMs}. */
     void retryLoad(double[] shares, double perSecond, long untilMs) {
         for (int i = 0; i < shares.length; i++) {
             if (shares[i] > 0) {
@@ -349,7 +349,7 @@
             return;
         }
         node.permits.linkUp(peer.id);
-        node.shared.snapshot().ifPresent(news -> node.send(peer.id, news));
+        node.shared.snapshot().ifPresent(update -> node.send(peer.id, update));
     }
 
     private void linkDown(Node node, Node peer) {
@@ -368,7 +368,7 @@
                 });
     }
 
-    /** Ends a router's process; it starts again with nothing known. */
+    /** Kills a router's process; it restarts without state. */
     void kill(int router) {
         Node node = nodes.get(router);
         if (!node.isUp || node.isSuspended) {
@@ -390,7 +390,7 @@
                 });
     }
 
-    /** Stops a router's process for a time; what comes meanwhile is read when it goes on. */
+    /** Suspends a router's process; it handles the messages of that time when it resumes. */
     void suspend(int router, long forMs) {
         Node node = nodes.get(router);
         if (!node.isUp || node.isSuspended) {
@@ -409,7 +409,7 @@
                 });
     }
 
-    /** Cuts the first {@code count} routers off from the others for a time. */
+    /** Partitions the first {@code count} routers from the others for a time. */
     void partition(int count, long forMs) {
         assignSide(count, 1);
         for (Node node : nodes) {
@@ -441,7 +441,9 @@
         return permitRequestsSent;
     }
 
-    /** Returns the most requests in a window of {@code windowMs} from {@code fromMs} on. */
+    /**
+     * Returns the maximum number of requests in a window of {@code windowMs} since {@code fromMs}.
+     */
     static int maxInWindow(List<Arrival> arrivals, long windowMs, long fromMs) {
         List<Long> times =
                 arrivals.stream()
@@ -466,7 +468,7 @@
         schedule(atMs - nowMs, () -> what.accept(this));
     }
 
-    /** Returns the limit that a router believes in. */
+    /** Returns the limit that a router has stored. */
     OptionalDouble storedLimit(int router) {
         return nodes.get(router).limits.perSecond(SERVER);
     }
--- a/masticweir/src/test/java/org/masticweir/permits/PermitFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitFleetTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A server's limit, kept by all routers together. */
+/** Tests that all routers together comply with a server's limit. */
 class PermitFleetTest {
     private static final long WINDOW_MS = 4_000;
     private static final long ANNOUNCED_MS = 2_000;
     private static final long END_MS = 30_000;
     private static final int FAULTS = 8;
 
-    /** Requests a second of all callers. */
+    /** Requests a second by all callers. */
     private static final double DEMAND = 120;
 
     private static double allowedInWindow(double limit) {
@@ -47,7 +47,7 @@
                 .count();
     }
 
-    /** Nothing fails. */
+    /** Without failures. */
     @Nested
     class WithoutFaults {
         @ParameterizedTest
@@ -64,7 +64,10 @@
             assertTrue(used >= 0.85 * limit, used + " a second used of " + limit);
         }
 
-        /** Asks must not grow with the fleet: one server in need would load all issuers. */
+        /**
+         * The number of permit requests must not grow with the number of routers: otherwise one
+         * limited server would load all issuers.
+         */
         @Test
         void permitRequestsAreBoundedPerPermitAndRouter() {
             double limit = 4.7;
@@ -72,11 +75,11 @@
             fleet.load(evenly(95), DEMAND, END_MS);
             fleet.announce(OptionalDouble.of(limit));
             fleet.runUntil(END_MS);
-            double asks = fleet.permitRequestsSent() * 1_000.0 / END_MS;
-            assertTrue(asks <= 95 / 2.0 + 4 * limit, asks + " asks a second");
+            double requests = fleet.permitRequestsSent() * 1_000.0 / END_MS;
+            assertTrue(requests <= 95 / 2.0 + 4 * limit, requests + " permit requests a second");
         }
 
-        /** All callers are at one router: the others' parts must not lie unused. */
+        /** All callers use one router: it must be able to use the shares of the other routers. */
         @Test
         void permitsGoToTheRouterWithCallers() {
             double limit = 9;
@@ -106,7 +109,10 @@
             }
         }
 
-        /** A server that takes nothing at all is still heard of, so that its limit can end. */
+        /**
+         * A server with a limit of 0 still gets some requests, as only its answer can lift the
+         * limit.
+         */
         @Test
         void limitOfZeroStillAllowsSomeRequests() {
             PermitFleet fleet = new PermitFleet(8, 0, 4);
@@ -118,7 +124,7 @@
         }
     }
 
-    /** Repeats beyond what each router's own requests allow, where most servers fail. */
+    /** Retries beyond each router's own retry budget, while most servers fail. */
     @Nested
     class Retries {
         private static final long RETRY_WINDOW_MS = 10_000;
@@ -145,7 +151,7 @@
             assertTrue(maxInWindow(fleet) >= wanted, maxInWindow(fleet) + " in the best window");
         }
 
-        /** One router's servers fail; the others have nothing to repeat. */
+        /** The servers of one router fail; the other routers have nothing to retry. */
         @Test
         void ofOneRouterUseTheWholeAllowance() {
             double[] shares = new double[95];
@@ -188,7 +194,7 @@
         }
     }
 
-    /** Routers end, stop and are cut off while words are lost. */
+    /** Routers are killed, suspended and partitioned, and messages are lost. */
     @Nested
     class WithFaults {
         @Property(tries = 150, seed = "31")
@@ -203,7 +209,7 @@
             assertWithinLimit(fleet, limit);
         }
 
-        /** All routers end at one moment, and know of no limit until the server names it again. */
+        /** All routers end at once and have no limit stored until the server announces it again. */
         @Test
         void limitIsRespectedAfterTheLossOfAllRouters() {
             double limit = 4.5;
@@ -221,7 +227,7 @@
             assertWithinLimit(fleet, limit);
         }
 
-        /** Both sides of a cut reach the server. */
+        /** Both sides of a network partition reach the server. */
         @Test
         void limitIsSharedByBothSidesOfAPartition() {
             double limit = 9;
@@ -230,9 +236,9 @@
             fleet.announce(OptionalDouble.of(limit));
             fleet.scheduleAt(5_000, f -> f.partition(3, 20_000));
             fleet.runUntil(END_MS);
-            long inCut = arrivalCount(fleet, 8_000, 25_000);
-            assertTrue(inCut <= limit * 17 + 5, inCut + " in 17 s of the cut");
-            assertTrue(inCut >= 0.85 * limit * 17, inCut + " in 17 s of the cut");
+            long inPartition = arrivalCount(fleet, 8_000, 25_000);
+            assertTrue(inPartition <= limit * 17 + 5, inPartition + " in 17 s of the partition");
+            assertTrue(inPartition >= 0.85 * limit * 17, inPartition + " in 17 s of the partition");
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/permits/PermitIssuerTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitIssuerTest.java
@@ -9,7 +9,7 @@
 import org.masticweir.id.EngineId;
 import org.masticweir.id.RouterId;
 
-/** Who gets the permits of one rate, and how many there are. */
+/** Tests which requests get a permit of one rate, and how many permits are granted. */
 class PermitIssuerTest {
     private static final PermitKey KEY =
             PermitKey.ofServer(ServerIncarnation.ofUnknownStart(EngineId.of("i-1")));
@@ -43,7 +43,7 @@
         assertEquals(1, grantedAtOnce(0, 60_125));
     }
 
-    /** What another issuer granted a moment ago would be granted once more. */
+    /** Otherwise permits that the previous issuer has just granted would be granted again. */
     @Test
     void grantsNoTokensFromBeforeItBecameTheIssuer() {
         assertEquals(0, grantedAtOnce(10_000, 10_050));
@@ -56,17 +56,18 @@
         assertEquals(0, grantedAtOnce(20_000, 20_050));
     }
 
-    /** Lookups would take what bookings wait for. */
+    /** Otherwise less urgent lookups would take the tokens that bookings wait for. */
     @Test
     void leavesATokenForWaitingUrgentRequests() {
         grantedAtOnce(0, 1_000);
         assertFalse(request(URGENT, 1_050).isGranted());
         assertFalse(
-                request("r2", LESS_URGENT, 0, 1_130).isGranted(), "one token, for the urgent ask");
+                request("r2", LESS_URGENT, 0, 1_130).isGranted(),
+                "one token, reserved for the urgent request");
         assertTrue(request(URGENT, 1_140).isGranted());
     }
 
-    /** What more urgent callers leave must not lie unused. */
+    /** Tokens that more urgent callers don't use must be granted to others. */
     @Test
     void grantsRemainingTokensToLessUrgentRequests() {
         grantedAtOnce(0, 1_000);
@@ -91,7 +92,7 @@
         assertTrue(request("r1", URGENT, 0, 1_001).retryAfterMs() >= 1_000);
         assertTrue(
                 request("r1", URGENT, 0, 20_000).isGranted(),
-                "the others have no callers any more");
+                "the other routers no longer have callers");
         assertTrue(request("r1", URGENT, 0, 20_001).isGranted());
         assertTrue(request("r1", URGENT, 0, 20_002).retryAfterMs() <= 125);
     }
--- a/masticweir/src/test/java/org/masticweir/permits/ServerLimitsTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/ServerLimitsTest.java
@@ -11,7 +11,7 @@
 import org.masticweir.id.EngineId;
 import org.masticweir.permits.LimitUpdate.ServerLimit;
 
-/** Which of several words on a server's limit holds. */
+/** Tests which of several reports of a server's limit is applied. */
 class ServerLimitsTest {
     private static final EngineId ID = EngineId.of("i-1");
     private static final ServerIncarnation SERVER = ServerIncarnation.of(ID, 1_000);
@@ -31,7 +31,7 @@
         assertEquals(OptionalDouble.of(2.5), limits.perSecond(SERVER));
     }
 
-    /** The head of a stream was written before the server was in need, and comes after its word. */
+    /** The head of a stream that was written before the limit was set arrives after the limit. */
     @Test
     void isNotLiftedByAnAnswerToAnEarlierRequest() {
         limits.recordAnswer(SERVER, FIVE, 0, 100);
