--- a/masticweir/src/main/java/org/masticweir/quarantine/CrashRecord.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/CrashRecord.java
@@ -16,17 +16,17 @@
 import org.masticweir.id.ContentId;
 
 /**
- * Which servers ended under requests with one content, as far as is known; immutable.
+ * The servers that ended while they ran requests with one content; immutable.
  *
- * <p>Lives are only ever added, so records of several routers can be merged in any order and as
- * often as they come, and a server counts once whoever lost it.
+ * <p>Incarnations are added and never removed. Records of several routers can therefore be merged
+ * in any order and any number of times, and a server counts once, no matter which routers lost it.
  *
- * @param losses one for each life that ended while it began to run the content
- * @param withdrawn lives that are not held against it any more
+ * @param losses one loss for each incarnation that ended while it began to run the content
+ * @param withdrawn incarnations whose losses no longer count
  */
 public record CrashRecord(
         ContentId content, ImmutableList<Loss> losses, ImmutableSet<ServerIncarnation> withdrawn) {
-    /** Lives kept in each list; more than are ever counted. */
+    /** Maximum number of incarnations in each list; more than are ever counted. */
     public static final int MAX_INCARNATIONS = 32;
 
     public CrashRecord {
@@ -43,7 +43,7 @@
         return new CrashRecord(content, ImmutableList.of(), ImmutableSet.of());
     }
 
-    /** Returns the losses that are held against the content, in their order. */
+    /** Returns the losses that were not withdrawn, ordered by the time of their ends. */
     public ImmutableList<Loss> countedLosses() {
         return losses.stream()
                 .filter(l -> !withdrawn.contains(l.incarnation()))
@@ -52,11 +52,12 @@
     }
 
     /**
-     * Returns how often the content has ended a server.
+     * Returns how many crashes of servers are attributed to the content.
      *
-     * <p>Failure guarded against: many callers have one content, a domain loses its servers, and
-     * all of those that had begun to run it end at one moment. Of servers to which it was sent
-     * before the first of them ended only one counts, as they may have had another cause in common.
+     * <p>Prevents a quarantine after the loss of a domain: many callers may send one content, and
+     * all servers that had begun to run it end at the same time. Of the servers to which the
+     * content was sent before the first of them ended, only one counts, as they may share another
+     * cause.
      */
     public int crashCount() {
         int crashes = 0;
@@ -97,7 +98,7 @@
                 content, union(losses, other.losses), union(withdrawn, other.withdrawn));
     }
 
-    /** Returns the same record by a clock that is {@code ms} ahead. */
+    /** Returns this record with all times shifted by {@code ms}. */
     public CrashRecord shifted(long ms) {
         return new CrashRecord(
                 content,
--- a/masticweir/src/main/java/org/masticweir/quarantine/CrashUpdate.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/CrashUpdate.java
@@ -16,7 +16,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Tells another router which servers ended under which contents; immutable. */
+/** Reports to another router which servers ended while they ran which contents; immutable. */
 public record CrashUpdate(List<ContentUpdate> contents) implements PeerMessage {
     private static final int CONTENT_FIELDS = 4;
     private static final int LOSS_FIELDS = 4;
--- a/masticweir/src/main/java/org/masticweir/quarantine/Loss.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/Loss.java
@@ -12,13 +12,15 @@
  * @param endedMs when the server ended
  */
 public record Loss(ServerIncarnation incarnation, long sentMs, long endedMs) {
-    /** How far two routers may be apart on one moment that they told each other, in ms. */
+    /** Maximum difference between the times that two routers store for one event, in ms. */
     private static final long CLOCK_TOLERANCE_MS = 100;
 
-    /** Servers that end no further apart may have one cause, in ms. */
+    /** Servers that end within this time of each other may have a common cause, in ms. */
     private static final long COMMON_CAUSE_MS = 250;
 
-    /** A server that was reached later than this before its end has hardly begun, in ms. */
+    /**
+     * Time before its end by which a server must have been sent a request to have begun it, in ms.
+     */
     private static final long MIN_RUN_MS = 50;
 
     public Loss {
@@ -27,10 +29,11 @@
     }
 
     /**
-     * Returns whether this shows more than {@code earlier} does.
+     * Returns whether this loss is further evidence beside {@code earlier}.
      *
-     * <p>Failure guarded against: a domain loses its servers within some milliseconds, and a
-     * request that one of them broke off is sent to the next just before that ends too.
+     * <p>A domain may lose all its servers within some milliseconds, and a request that failed at
+     * one of them may be sent to the next one just before that one ends too. Such losses count
+     * once.
      */
     boolean isIndependentOf(Loss earlier) {
         boolean isSentAfter = sentMs >= earlier.endedMs - CLOCK_TOLERANCE_MS;
@@ -38,12 +41,12 @@
         return isSentAfter && (isSeparate || endedMs - sentMs >= MIN_RUN_MS);
     }
 
-    /** Returns which of two losses of one life is kept: the one whose request came last. */
+    /** Returns the loss of the later request, of two losses of one incarnation. */
     Loss laterOf(Loss other) {
         return other.sentMs > sentMs + CLOCK_TOLERANCE_MS ? other : this;
     }
 
-    /** Returns the same loss by a clock that is {@code ms} ahead. */
+    /** Returns this loss with both times shifted by {@code ms}. */
     Loss shifted(long ms) {
         return new Loss(incarnation, sentMs + ms, endedMs + ms);
     }
--- a/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
@@ -16,56 +16,61 @@
 import org.masticweir.id.RouterId;
 
 /**
- * Contents under which servers ended, by the word of all routers; owned by the traffic thread.
+ * The contents that may have crashed servers, based on the losses that all routers observed; owned
+ * by the traffic thread.
  *
- * <p>Failure that it answers: a request ends each server that begins to run it, and is submitted
- * again and again, at any router and under new ids. What one submission has learnt is lost with it,
- * so each of them would end as many servers as its route allows, with all that they run. Here the
- * evidence outlives the submission. After {@link #LIMIT} servers its content is held.
+ * <p>A request that crashes each server that begins to run it may be submitted again and again, at
+ * any router and under new ids. Without a quarantine the evidence would be lost with each
+ * submission, and each would crash as many servers as its route allows, with all requests that run
+ * there. The quarantine keeps the evidence beyond the submission. After {@link #LIMIT} servers the
+ * content is held.
  *
- * <p>Whoever shares it takes what {@link #drainUpdates} returns after each command and tells the
- * other routers.
+ * <p>After each call that may change a content, the owner sends the result of {@link #drainUpdates}
+ * to the other routers.
  */
 public final class Quarantine {
-    /** How often a content may end a server. */
+    /** Number of crashes from which on a content is held. */
     public static final int LIMIT = 3;
 
     /**
-     * Ends from which on a content goes where least runs. Most of those with one end were only
-     * beside the request that caused it, and are served best where any other goes.
+     * Number of crashes from which on a content is sent to the least loaded server. Most contents
+     * with one crash merely ran beside the request that caused it, and are served best by the
+     * normal choice of a server.
      */
     static final int LEAST_LOADED_FROM = 2;
 
     /**
-     * Time from a run's first event within which the end of its server speaks against it, in ms. A
-     * run that lasts longer at one server is cleared.
+     * Time from a run's first event within which the end of its server counts as evidence against
+     * its content, in ms. A content whose run lasts longer at one server is cleared.
      */
     public static final long TRIAL_MS = 2_000;
 
-    /** How long a content is held when it reaches the limit, in ms. */
+    /** Time for which a content is held when it reaches the limit, in ms. */
     static final long FIRST_HOLD_MS = 60_000;
 
-    /** How many times as long it is held after each further end. */
+    /** Factor by which the hold grows with each further crash. */
     private static final int HOLD_GROWTH = 8;
 
-    /** How long a trial of a router that is not heard of any more holds up the others, in ms. */
+    /**
+     * Time after the last update from a router at which its trial no longer delays others, in ms.
+     */
     static final long PEER_TRIAL_EXPIRY_MS = 10_000;
 
-    /** How long evidence below the limit is kept after the last of it, in ms. */
+    /** Time for which evidence below the limit is kept after the last loss, in ms. */
     static final long SUSPECT_EXPIRY_MS = 600_000;
 
-    /** Contents kept; some hundred bytes each. */
+    /** Maximum number of contents; each takes some hundred bytes. */
     static final int MAX_CONTENTS = 4_096;
 
     private final RouterId self;
     private final long longestHoldMs;
 
-    /** Least recently changed first. */
+    /** Ordered by the last change, oldest first. */
     private final Map<ContentId, Entry> entries = new LinkedHashMap<>();
 
     private final Set<ContentId> pendingUpdates = new LinkedHashSet<>();
 
-    /** What is known of one content. */
+    /** The state of one content. */
     private static final class Entry {
         private final Map<RouterId, Long> trialsUntilMs = new HashMap<>();
         private CrashRecord record;
@@ -77,7 +82,7 @@
             this.record = record;
         }
 
-        /** Returns when the last evidence was had. */
+        /** Returns the time of the last loss; without a loss, the time of creation. */
         long lastEvidenceMs() {
             return record.lastLoss().map(Loss::endedMs).orElse(createdMs);
         }
@@ -87,7 +92,7 @@
         }
     }
 
-    /** What a command changed for one content. */
+    /** The change of a content's state by one call. */
     public enum Change {
         NONE,
         SUSPECTED,
@@ -96,10 +101,10 @@
     }
 
     /**
-     * What other routers are told of one content.
+     * The state of one content, for other routers.
      *
-     * @param record with times as they lie from the moment of telling, which is 0
-     * @param isOnTrial whether the teller has a request with it on trial
+     * @param record with times relative to the time of sending, which is 0
+     * @param isOnTrial whether the sender has a request with the content on trial
      */
     public record ContentUpdate(CrashRecord record, boolean isOnTrial) {
         public ContentUpdate {
@@ -115,20 +120,22 @@
     /**
      * Returns an empty quarantine.
      *
-     * @param longestHoldMs longest time for which a content is not sent; as long after the last
-     *     evidence against it is forgotten
+     * @param longestHoldMs longest time for which a content is held; evidence is removed this long
+     *     after the last loss
      */
     public static Quarantine create(RouterId self, long longestHoldMs) {
         checkArgument(longestHoldMs > 0, "hold of %s ms", longestHoldMs);
         return new Quarantine(self, longestHoldMs);
     }
 
-    /** Returns whether nothing is held against any content, so that no content id is needed. */
+    /**
+     * Returns whether there is no evidence against any content, so that no content id is needed.
+     */
     public boolean isEmpty() {
         return entries.isEmpty();
     }
 
-    /** Returns whether a request with {@code content} may be sent now. */
+    /** Returns whether and where a request with {@code content} may be sent now. */
     public SendRule sendRule(ContentId content, long nowMs) {
         Entry entry = findUnexpired(content, nowMs);
         if (entry == null) {
@@ -145,10 +152,10 @@
     }
 
     /**
-     * Returns how long a content is held after its last end.
+     * Returns the time for which a content is held after its last crash.
      *
-     * <p>It is tried again in the end, so that sound work which was unlucky is not refused for
-     * good, and less often each time.
+     * <p>Each hold ends, so that a harmless content that coincided with crashes is not rejected
+     * forever. Each hold is longer than the one before.
      */
     private long holdMs(int crashes) {
         long holdMs = FIRST_HOLD_MS;
@@ -158,13 +165,13 @@
         return Math.min(holdMs, longestHoldMs);
     }
 
-    /** Returns what is held against {@code content}. */
+    /** Returns the losses that count against {@code content}. */
     public ImmutableList<Loss> countedLosses(ContentId content) {
         Entry entry = entries.get(content);
         return entry == null ? ImmutableList.of() : entry.record.countedLosses();
     }
 
-    /** Returns how long a quarantined content is held from now on, in ms. */
+    /** Returns the time until the hold of a quarantined content ends, in ms. */
     public long remainingHoldMs(ContentId content, long nowMs) {
         Entry entry = entries.get(content);
         return entry == null
@@ -173,8 +180,8 @@
     }
 
     /**
-     * This router sends a request with {@code content}; returns whether it is on trial now, until
-     * {@link #endTrial}.
+     * Records that this router sends a request with {@code content}; returns whether the request is
+     * on trial, which lasts until {@link #endTrial}.
      */
     public boolean beginTrial(ContentId content, long nowMs) {
         Entry entry = findUnexpired(content, nowMs);
@@ -187,7 +194,7 @@
         return true;
     }
 
-    /** A send that {@link #beginTrial} put on trial is over. */
+    /** Records the end of a send that {@link #beginTrial} put on trial. */
     public void endTrial(ContentId content) {
         Entry entry = entries.get(content);
         if (entry == null || entry.ownTrials == 0) {
@@ -200,12 +207,15 @@
         }
     }
 
-    /** A loss under {@code content} is looked into, and waited for until {@link #endInquiry}. */
+    /**
+     * Records that the cause of a loss under {@code content} is being determined; requests with it
+     * wait until {@link #endInquiry}.
+     */
     public void beginInquiry(ContentId content, long nowMs) {
         getOrCreate(content, nowMs).inquiries++;
     }
 
-    /** The cause of a loss was found. */
+    /** Records that the cause of a loss has been determined. */
     public void endInquiry(ContentId content) {
         Entry entry = entries.get(content);
         if (entry != null) {
@@ -214,13 +224,13 @@
         }
     }
 
-    /** A server ended that had begun to run a request with {@code content}. */
+    /** Records the end of a server that had begun to run a request with {@code content}. */
     public Change recordLoss(ContentId content, Loss loss, long nowMs) {
         Entry entry = getOrCreate(content, nowMs);
         return setRecord(entry, entry.record.with(loss));
     }
 
-    /** A request with {@code content} was run without harm. */
+    /** Records that a request with {@code content} ran without crashing its server. */
     public Change recordSuccess(ContentId content, long nowMs) {
         Entry entry = findUnexpired(content, nowMs);
         return entry == null || entry.crashCount() == 0
@@ -228,7 +238,7 @@
                 : setRecord(entry, entry.record.withdrawAll());
     }
 
-    /** Returns the contents against which the end of {@code life} is held. */
+    /** Returns the contents against which the loss of {@code incarnation} counts. */
     public ImmutableList<ContentId> contentsWithLossOf(ServerIncarnation incarnation) {
         return entries.values().stream()
                 .map(e -> e.record)
@@ -240,13 +250,13 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** {@code life} was believed to have ended under {@code content}, and answers. */
+    /** Records an answer of {@code incarnation}, whose end was counted against {@code content}. */
     public Change recordAlive(ContentId content, ServerIncarnation incarnation, long nowMs) {
         Entry entry = findUnexpired(content, nowMs);
         return entry == null ? Change.NONE : setRecord(entry, entry.record.withdraw(incarnation));
     }
 
-    /** Takes what a router told; its words may come twice, late and in any order. */
+    /** Applies another router's update; updates may arrive twice, late and in any order. */
     public Change handleUpdate(RouterId peer, ContentUpdate update, long nowMs) {
         Entry entry = getOrCreate(update.record().content(), nowMs);
         if (update.isOnTrial()) {
@@ -259,27 +269,27 @@
         return change;
     }
 
-    /** Takes a record that outlasted the routers. */
+    /** Applies a record read from the store. */
     public Change restore(CrashRecord record, long nowMs) {
         return merge(getOrCreate(record.content(), nowMs), record);
     }
 
-    /** Forgets the trials of a router that is lost. */
+    /** Removes the trials of a router that is lost. */
     public void removeTrialsOf(RouterId peer) {
         entries.values().forEach(e -> e.trialsUntilMs.remove(peer));
     }
 
-    /** Returns what is known of {@code content}. */
+    /** Returns the record of {@code content}, if there is one. */
     public Optional<CrashRecord> record(ContentId content) {
         return Optional.ofNullable(entries.get(content)).map(e -> e.record);
     }
 
-    /** Returns whether there is something to tell. */
+    /** Returns whether there are changes to send to other routers. */
     public boolean hasUpdates() {
         return !pendingUpdates.isEmpty();
     }
 
-    /** Returns what changed here since the last call. */
+    /** Returns and clears the changes that this router made since the last call. */
     public ImmutableList<ContentUpdate> drainUpdates(long nowMs) {
         ImmutableList<ContentUpdate> taken =
                 pendingUpdates.stream()
@@ -290,7 +300,7 @@
         return taken;
     }
 
-    /** Returns all that a router is told which knows nothing. */
+    /** Returns all records, for a router that has just been linked. */
     public ImmutableList<ContentUpdate> snapshot(long nowMs) {
         return entries.values().stream()
                 .filter(e -> !e.record.isBlank())
@@ -302,7 +312,7 @@
         return new ContentUpdate(entry.record.shifted(-nowMs), entry.ownTrials > 0);
     }
 
-    /** What others told is not told on; what is still to be told of this router's own is. */
+    /** Merges without forwarding changes of other routers; this router's own remain to be sent. */
     private Change merge(Entry entry, CrashRecord record) {
         boolean hasOwnUpdate = pendingUpdates.contains(record.content());
         Change change = setRecord(entry, entry.record.merge(record));
@@ -356,8 +366,9 @@
     }
 
     /**
-     * Forgets what has run out, and if need be the oldest below the limit: each content costs a
-     * caller a server, so those in quarantine are the dearest to learn again.
+     * Removes expired contents, then the oldest ones below the limit, then the oldest in
+     * quarantine. Each crash costs a server, so quarantined contents are the most expensive to
+     * detect again.
      */
     private void evictIfFull(long nowMs) {
         if (entries.size() < MAX_CONTENTS) {
--- a/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
@@ -28,28 +28,28 @@
 import org.masticweir.time.Clock;
 
 /**
- * Keeps crash records in the platform's store, where they outlast all routers; owned by the control
+ * Saves crash records in the platform's store, where they outlive all routers; owned by the control
  * thread.
  *
- * <p>Failure guarded against: all routers are lost at once, and with them what a content has done.
- * A record with one server is not kept: most of those are cleared at once, and without it two more
- * servers end at most.
+ * <p>Without this, the loss of all routers at once would lose all evidence. A record with one
+ * server is not saved: most of those are cleared soon, and without the record at most two more
+ * servers end.
  */
 public final class QuarantineStore {
     private static final Logger LOG = LogManager.getLogger(QuarantineStore.class);
 
     private static final String TABLE = "quarantine";
 
-    /** Servers from which on a record is kept. */
+    /** Minimum number of servers in a record that is saved. */
     private static final int MIN_SERVERS = 2;
 
-    /** Time for one call, in ms. */
+    /** Timeout of one call, in ms. */
     private static final long CALL_TIMEOUT_MS = 1_000;
 
-    /** Pause before a failed call is made again, in ms. */
+    /** Pause before a failed call is retried, in ms. */
     private static final long RETRY_MS = 500;
 
-    /** Records that wait for the store; the newest of a content replaces its others. */
+    /** Maximum number of records to be written; a content's newest record replaces older ones. */
     private static final int MAX_PENDING = 4_096;
 
     private static final int PAGE_ROWS = 500;
@@ -75,7 +75,7 @@
         this.holdMs = holdMs;
     }
 
-    /** Reads the records that there are, with times by this router's clock. */
+    /** Reads all stored records, with times converted to this router's clock. */
     public void load(Consumer<CrashRecord> found) {
         loadPageAfter("", found);
     }
@@ -100,16 +100,18 @@
         }
     }
 
-    /** Returns whether all records were read. */
+    /** Returns whether all records have been read. */
     public boolean isLoaded() {
         return isLoaded;
     }
 
-    /** Keeps a record, or removes what was kept of one that is cleared; may be called anywhere. */
+    /**
+     * Saves a record, or deletes its row if its content is cleared; may be called on any thread.
+     */
     public void save(CrashRecord record) {
         onControl(
                 () -> {
-                    // A record that never had two servers was not kept, so there is no row of it.
+                    // A record that never had two servers was not saved, so it has no row.
                     boolean matters = record.losses().size() >= MIN_SERVERS;
                     if (matters && pending.size() < MAX_PENDING) {
                         pending.put(record.content(), record);
@@ -145,14 +147,19 @@
                 : Transaction.builder().put(key, encode(record)).build();
     }
 
-    /** Times are kept as they lie from the moment of writing. */
+    /** Returns a record as text, with the time of writing and all other times relative to it. */
     private String encode(CrashRecord record) {
         StringBuilder text = new StringBuilder(Long.toString(clock.wallMs()));
         for (Loss loss : record.shifted(-clock.nowMs()).countedLosses()) {
-            ServerIncarnation life = loss.incarnation();
+            ServerIncarnation incarnation = loss.incarnation();
             text.append(SEPARATOR);
             Joiner.on(FIELD)
-                    .appendTo(text, life.id(), life.startedMs(), loss.sentMs(), loss.endedMs());
+                    .appendTo(
+                            text,
+                            incarnation.id(),
+                            incarnation.startedMs(),
+                            loss.sentMs(),
+                            loss.endedMs());
         }
         return text.toString();
     }
@@ -160,7 +167,7 @@
     private void handleRow(Row row, Consumer<CrashRecord> found) {
         try {
             List<String> parts = PARTS.splitToList(row.value());
-            checkArgument(parts.size() >= 2, "no time and server");
+            checkArgument(parts.size() >= 2, "no time or no server");
             long ageMs = Math.max(0, clock.wallMs() - Long.parseLong(parts.get(0)));
             if (ageMs >= holdMs) {
                 remove(row.key());
@@ -179,23 +186,26 @@
         }
     }
 
-    /** Another router that starts removes it if this call is lost. */
+    /**
+     * Deletes an expired row. If this call is lost, the next router that starts deletes the row.
+     */
     private void remove(RowKey key) {
         store.transact(Transaction.builder().delete(key).build(), CALL_TIMEOUT_MS)
                 .thenAccept(
-                        outcome -> LOG.info("quarantine: row {} has run out, {}", key, outcome));
+                        outcome ->
+                                LOG.info("quarantine: row {} expired, deletion: {}", key, outcome));
     }
 
     private static Loss decodeLoss(String text) {
         List<String> fields = FIELDS.splitToList(text);
-        checkArgument(fields.size() == LOSS_FIELDS, "%s is no loss", text);
-        ServerIncarnation life =
+        checkArgument(fields.size() == LOSS_FIELDS, "%s is not a loss", text);
+        ServerIncarnation incarnation =
                 ServerIncarnation.of(EngineId.of(fields.get(0)), Long.parseLong(fields.get(1)));
-        return new Loss(life, Long.parseLong(fields.get(2)), Long.parseLong(fields.get(3)));
+        return new Loss(incarnation, Long.parseLong(fields.get(2)), Long.parseLong(fields.get(3)));
     }
 
     private void retryLater(Runnable step, String what) {
-        LOG.info("quarantine: the store could not be reached to {}, it is tried again", what);
+        LOG.info("quarantine: the store could not be reached to {}, retrying", what);
         ControlThread.executeAfter(control, step, RETRY_MS, "quarantine");
     }
 
--- a/masticweir/src/main/java/org/masticweir/quarantine/SendRule.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/SendRule.java
@@ -1,13 +1,15 @@
 package org.masticweir.quarantine;
 
-/** Whether a request with a given content may be sent to a server now. */
+/** Whether and where a request with a given content may be sent now. */
 public enum SendRule {
-    /** Too little is held against it to matter. */
+    /** May be sent to any server: there is no or little evidence against its content. */
     ANY_SERVER,
-    /** Several servers ended under it; it goes where it can do the least harm. */
+    /**
+     * May be sent to the server where a crash does the least harm: several servers ended under it.
+     */
     LEAST_LOADED,
-    /** Another request with its content is on trial, or the cause of a loss is being found out. */
+    /** Waits: another request with its content is on trial, or a loss is being investigated. */
     WAIT,
-    /** It is not sent any more. */
+    /** Must not be sent: its content is in quarantine. */
     REJECT
 }
--- a/masticweir/src/main/java/org/masticweir/quarantine/SharedQuarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/SharedQuarantine.java
@@ -22,15 +22,15 @@
 import org.masticweir.time.Clock;
 
 /**
- * A router's quarantine with what belongs to each change of it: a log line, a count, the word to
- * the other routers and the record that outlasts them.
+ * The quarantine of one router. Each change is logged and counted, and changes made by this router
+ * are sent to the other routers and saved in the store.
  *
- * <p>Thread-safe: one lock guards the quarantine, and nothing is done under it but to decide.
+ * <p>Thread-safe: one lock guards the quarantine. No I/O, logging or callback runs under the lock.
  */
 public final class SharedQuarantine {
     private static final Logger LOG = LogManager.getLogger(SharedQuarantine.class);
 
-    /** How long changes are gathered, in ms; short beside the start of a run. */
+    /** Time for which changes are batched, in ms; short compared with the start of a run. */
     private static final long BATCH_MS = 5;
 
     private final Quarantine quarantine;
@@ -48,8 +48,8 @@
     /**
      * Creates the quarantine of one router.
      *
-     * @param broadcast tells all other routers; called on the control thread
-     * @param save keeps a record where it outlasts the routers; called on any thread
+     * @param broadcast sends an update to all other routers; called on the control thread
+     * @param save saves a record where it outlives the routers; called on any thread
      */
     public SharedQuarantine(
             Quarantine quarantine,
@@ -69,17 +69,17 @@
     }
 
     /**
-     * Has {@code next} told when a content becomes suspect or is put into quarantine, on the thread
-     * that made the change and outside of any lock.
+     * Sets the listener that is called when a content becomes suspect or is put into quarantine. It
+     * is called on the thread that made the change, outside of any lock.
      */
     public void onChange(BiConsumer<ContentId, Change> next) {
         listener = checkNotNull(next, "next");
     }
 
     /**
-     * Returns whether a request may be sent now.
+     * Returns whether and where a request may be sent now.
      *
-     * @param content asked for only while something is held against any content
+     * @param content called only while there is evidence against any content
      */
     public SendRule sendRule(Supplier<ContentId> content, long nowMs) {
         if (isEmpty) {
@@ -91,12 +91,12 @@
         }
     }
 
-    /** Returns how long a quarantined content is held from now on, in ms. */
+    /** Returns the time until the hold of a quarantined content ends, in ms. */
     public synchronized long remainingHoldMs(ContentId content, long nowMs) {
         return quarantine.remainingHoldMs(content, nowMs);
     }
 
-    /** A request is sent; returns whether it is on trial, until {@link #endTrial}. */
+    /** Records a send; returns whether it is on trial, which lasts until {@link #endTrial}. */
     public boolean beginTrial(Supplier<ContentId> content) {
         if (isEmpty) {
             return false;
@@ -109,38 +109,44 @@
         }
     }
 
-    /** A send that was on trial is over. */
+    /** Records the end of a send that was on trial. */
     public synchronized void endTrial(ContentId content) {
         quarantine.endTrial(content);
         scheduleBatch();
     }
 
-    /** A loss is looked into, and waited for until {@link #endInquiry}. */
+    /**
+     * Records that the cause of a loss is being determined; requests with the content wait until
+     * {@link #endInquiry}.
+     */
     public synchronized void beginInquiry(ContentId content) {
         quarantine.beginInquiry(content, clock.nowMs());
         isEmpty = false;
     }
 
-    /** The cause of a loss was found. */
+    /** Records that the cause of a loss has been determined. */
     public synchronized void endInquiry(ContentId content) {
         quarantine.endInquiry(content);
         isEmpty = quarantine.isEmpty();
     }
 
-    /** A server ended that had begun to run a request with {@code content}. */
+    /** Records the end of a server that had begun to run a request with {@code content}. */
     public void recordLoss(ContentId content, Loss loss, String cause) {
         apply(content, cause, now -> quarantine.recordLoss(content, loss, now));
     }
 
-    /** A request ran for longer than a trial lasts, or got its whole answer. */
+    /** Records that a request ran for longer than a trial lasts, or received its whole answer. */
     public void recordSuccess(Supplier<ContentId> content) {
         if (!isEmpty) {
             ContentId id = content.get();
-            apply(id, "it ran without harm", now -> quarantine.recordSuccess(id, now));
+            apply(
+                    id,
+                    "a request with it ran without a crash",
+                    now -> quarantine.recordSuccess(id, now));
         }
     }
 
-    /** A life that was believed to have ended answers. */
+    /** Records an answer of an incarnation whose end was counted. */
     public void recordAlive(ServerIncarnation incarnation) {
         List<ContentId> contents;
         synchronized (this) {
@@ -150,11 +156,11 @@
                 c ->
                         apply(
                                 c,
-                                incarnation + " lives",
+                                incarnation + " is alive",
                                 now -> quarantine.recordAlive(c, incarnation, now)));
     }
 
-    /** Takes what another router told. */
+    /** Handles an update from another router. */
     public void handleUpdate(RouterId peer, CrashUpdate update) {
         update.contents().forEach(n -> handleUpdate(peer, n));
     }
@@ -167,15 +173,15 @@
             isEmpty = quarantine.isEmpty();
         }
         if (change == Change.QUARANTINED) {
-            log(content, change, "word of " + peer);
+            log(content, change, "update from " + peer);
         } else if (change != Change.NONE) {
-            // The router that found it out has written it at a higher level.
-            LOG.debug("quarantine: content {} is {}, word of {}", content, change, peer);
+            // The router that made the change has logged it at a higher level.
+            LOG.debug("quarantine: content {} is {}, update from {}", content, change, peer);
         }
         notifyListener(content, change);
     }
 
-    /** Takes a record that outlasted the routers. */
+    /** Applies a record read from the store. */
     public void restore(CrashRecord record) {
         Change change;
         synchronized (this) {
@@ -186,18 +192,18 @@
         notifyListener(record.content(), change);
     }
 
-    /** Forgets the trials of a router that is lost. */
+    /** Removes the trials of a router that is lost. */
     public synchronized void removeTrialsOf(RouterId peer) {
         quarantine.removeTrialsOf(peer);
     }
 
-    /** Returns all that a router is told which knows nothing; empty if there is nothing to tell. */
+    /** Returns all records, for a router that has just been linked; empty if there are none. */
     public synchronized Optional<CrashUpdate> snapshot() {
         List<ContentUpdate> all = quarantine.snapshot(clock.nowMs());
         return all.isEmpty() ? Optional.empty() : Optional.of(new CrashUpdate(all));
     }
 
-    /** One change of a content at a time. */
+    /** A call that may change the state of a content. */
     private interface Command {
         Change runAt(long nowMs);
     }
@@ -226,7 +232,7 @@
         return quarantine.record(content);
     }
 
-    /** What changes within a few milliseconds goes out together: a server ends under several. */
+    /** Batches the changes of some milliseconds: a server that ends may affect several contents. */
     private void scheduleBatch() {
         if (isBatchScheduled || !quarantine.hasUpdates()) {
             return;
--- a/masticweir/src/main/java/org/masticweir/quarantine/package-info.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Which requests end the servers that run them: the evidence of all routers, and what follows from
- * it. {@link org.masticweir.quarantine.Quarantine} decides and has no I/O.
+ * Detects requests that crash the servers that run them, based on the losses that all routers
+ * observed, and stops sending them. {@link org.masticweir.quarantine.Quarantine} makes the
+ * decisions and does no I/O.
  */
 package org.masticweir.quarantine;
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
@@ -14,11 +14,11 @@
 import org.masticweir.quarantine.Quarantine.ContentUpdate;
 
 /**
- * Routers that share a quarantine, and servers that end and start again, on a clock of their own.
- * Words of routers come late, some twice and some only when a link is up again.
+ * Simulates routers that share a quarantine, and servers that end and restart. Updates of routers
+ * arrive late, some twice and some only after a link has been restored.
  */
 final class QuarantineFleet {
-    /** Time by which each router has heard of an end, in ms; its link may have to come up first. */
+    /** Time until each router has received a loss, in ms; its link may have to come up first. */
     static final long MAX_UPDATE_MS = 550;
 
     private static final long BATCH_MS = 5;
@@ -33,7 +33,7 @@
     private static final long RESTART_MS = 4_000;
     private static final int ATTEMPTS = 5;
 
-    /** Servers that a domain has. */
+    /** Servers per domain. */
     static final int SERVERS_PER_DOMAIN = 5;
 
     private final Random random;
@@ -73,7 +73,7 @@
         }
     }
 
-    /** One submission. */
+    /** One submission of a request. */
     private final class Submission {
         private final int router;
         private final ContentId content;
@@ -214,7 +214,7 @@
         events.add(new Event(nowMs + ms, nextEventNumber++, what));
     }
 
-    /** Does {@code what} each {@code gapMs} until {@code untilMs}. */
+    /** Runs {@code what} every {@code gapMs} until {@code untilMs}. */
     void scheduleEvery(long gapMs, long untilMs, Runnable what) {
         for (long at = gapMs; at <= untilMs; at += gapMs) {
             schedule(at, what);
@@ -234,7 +234,7 @@
         new Submission(random.nextInt(routers.size()), content, harmful).trySend();
     }
 
-    /** Ends the servers of one domain at one moment. */
+    /** Ends all servers of one domain at once. */
     void endDomain(int domain) {
         servers.stream()
                 .filter(s -> s.index / SERVERS_PER_DOMAIN == domain)
@@ -250,10 +250,10 @@
             return;
         }
         server.isUp = false;
-        ServerIncarnation life = server.incarnation();
+        ServerIncarnation incarnation = server.incarnation();
         List<Submission> lost = List.copyOf(server.runs);
         server.runs.clear();
-        lost.forEach(r -> r.handleLoss(life));
+        lost.forEach(r -> r.handleLoss(incarnation));
         schedule(
                 RESTART_MS,
                 () -> {
@@ -269,14 +269,14 @@
         schedule(
                 BATCH_MS,
                 () -> {
-                    List<ContentUpdate> news = routers.get(router).drainUpdates(nowMs);
-                    for (int peer = 0; peer < routers.size() && !news.isEmpty(); peer++) {
-                        broadcast(router, peer, news);
+                    List<ContentUpdate> updates = routers.get(router).drainUpdates(nowMs);
+                    for (int peer = 0; peer < routers.size() && !updates.isEmpty(); peer++) {
+                        broadcast(router, peer, updates);
                     }
                 });
     }
 
-    private void broadcast(int router, int peer, List<ContentUpdate> news) {
+    private void broadcast(int router, int peer, List<ContentUpdate> updates) {
         if (peer == router) {
             return;
         }
@@ -289,21 +289,21 @@
         }
         int copies = random.nextInt(20) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            schedule(1 + random.nextInt(MAX_DELAY_MS), () -> handleUpdates(router, peer, news));
+            schedule(1 + random.nextInt(MAX_DELAY_MS), () -> handleUpdates(router, peer, updates));
         }
     }
 
-    private void handleUpdates(int router, int peer, List<ContentUpdate> news) {
-        news.forEach(n -> routers.get(peer).handleUpdate(RouterId.of("r" + router), n, nowMs));
+    private void handleUpdates(int router, int peer, List<ContentUpdate> updates) {
+        updates.forEach(n -> routers.get(peer).handleUpdate(RouterId.of("r" + router), n, nowMs));
     }
 
-    /** Returns how many servers ended under {@code content}. */
+    /** Returns the number of servers that {@code content} crashed. */
     int crashCount(ContentId content) {
         return crashesMs.getOrDefault(content, List.of()).size();
     }
 
     /**
-     * Returns how often {@code content} was sent later than {@code afterMs} after its third end.
+     * Returns how often {@code content} was sent more than {@code afterMs} after its third crash.
      */
     long sendsAfterThirdCrash(ContentId content, long afterMs) {
         List<Long> ends = crashesMs.getOrDefault(content, List.of());
@@ -315,7 +315,7 @@
     }
 
     /**
-     * Returns how often {@code content} was sent before all routers could know of its first end.
+     * Returns how often {@code content} was sent before all routers had received its first crash.
      */
     long sendsBeforeFirstUpdate(ContentId content) {
         long firstMs = crashesMs.get(content).get(0);
@@ -330,7 +330,7 @@
         return answered;
     }
 
-    /** Returns how many submissions ended as their content was held. */
+    /** Returns the number of submissions that were rejected because their content was held. */
     int rejectedCount() {
         return rejectedCount;
     }
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleetTest.java
@@ -9,17 +9,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.masticweir.id.ContentId;
 
-/** What a fleet of routers lets a harmful content do, and what it costs sound ones. */
+/**
+ * Tests the damage by a crashing content, and its cost for harmless contents, with many routers.
+ */
 class QuarantineFleetTest {
-    private static final ContentId CONTENT = ContentId.of("letter");
+    private static final ContentId CONTENT = ContentId.of("content");
     private static final long END_MS = 100_000;
     private static final int SERVERS = 20;
     private static final int SEEDS = 5;
 
-    /** Time after the third end by which all routers must know, in ms. */
+    /** Time after the third crash by which all routers must have received it, in ms. */
     private static final long UPDATE_MS = 3_000;
 
-    /** Sends that may still be made after that. */
+    /** Maximum number of sends after that time. */
     private static final int MAX_SENDS_AFTER = 3;
 
     private int contents;
@@ -29,7 +31,7 @@
         return ContentId.of("c" + contents);
     }
 
-    /** One letter that ends its servers is submitted to routers at random. */
+    /** One content that crashes its servers is submitted to routers at random. */
     @Nested
     class CrashingContent {
         @ParameterizedTest
@@ -44,7 +46,7 @@
             }
         }
 
-        /** Twenty copies come at one moment, and more of them all the time. */
+        /** Twenty copies are submitted within one second, and further ones at a steady rate. */
         @Test
         void doesNotCrashAServerForEachCopy() {
             for (int seed = 0; seed < SEEDS; seed++) {
@@ -56,13 +58,13 @@
                 int ended = fleet.crashCount(CONTENT);
                 String seen = "seed " + seed + ": " + ended + " ended, " + after + " sends after";
                 assertTrue(after <= MAX_SENDS_AFTER, seen);
-                long unknowing = fleet.sendsBeforeFirstUpdate(CONTENT);
-                assertTrue(ended <= unknowing + Quarantine.LIMIT, seen + ", " + unknowing);
+                long early = fleet.sendsBeforeFirstUpdate(CONTENT);
+                assertTrue(ended <= early + Quarantine.LIMIT, seen + ", " + early);
             }
         }
     }
 
-    /** Letters that do no harm, while servers end for other reasons. */
+    /** Harmless contents, while servers end for other reasons. */
     @Nested
     class HarmlessContent {
         private QuarantineFleet runWithFaults(long gapMs, Runnable fault, QuarantineFleet fleet) {
@@ -72,7 +74,7 @@
             return fleet;
         }
 
-        /** Each domain in turn loses all its servers. */
+        /** All servers of one domain after another end. */
         @Test
         void isNeverHeldWhileDomainsAreLostInTurn() {
             int[] turn = {0};
@@ -83,7 +85,7 @@
             }
         }
 
-        /** A third of all letters have one content, and domains are lost in turn. */
+        /** A third of the requests have the same content, and one domain after another is lost. */
         @Test
         void isNeverHeldThoughManyCallersSendIt() {
             int[] turn = {0};
@@ -96,9 +98,9 @@
         }
 
         /**
-         * A server ends every two seconds for no reason of the letters. Of 20 servers each ends
-         * once in 40 s; a letter is at risk for 3.5 s at each, so three in a row hit about one in
-         * 1,600.
+         * A server ends every two seconds for a reason other than its requests. Each of the 20
+         * servers ends once in 40 s. A request is at risk for 3.5 s at each server, so about one in
+         * 1,600 is lost three times in a row.
          */
         @Test
         void isRarelyHeldWhileServersEndFrequently() {
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
@@ -20,10 +20,10 @@
 import org.masticweir.quarantine.Quarantine.Change;
 import org.masticweir.quarantine.Quarantine.ContentUpdate;
 
-/** When a content is not sent any more, and what clears it. */
+/** Tests when a content is quarantined and when it is cleared. */
 class QuarantineTest {
     private static final long HOLD_MS = 3_600_000;
-    private static final ContentId CONTENT = ContentId.of("letter");
+    private static final ContentId CONTENT = ContentId.of("content");
     private static final RouterId PEER = RouterId.of("r2");
 
     private final Quarantine quarantine = Quarantine.create(RouterId.of("r1"), HOLD_MS);
@@ -32,7 +32,7 @@
         return ServerIncarnation.of(EngineId.of("i-" + number), 1_000 + number);
     }
 
-    /** Time from a send to the end of its server: it has begun to run the request. */
+    /** Time from a send to the end of its server; long enough for the run to have begun. */
     private static final long RUN_MS = 60;
 
     private static Loss loss(int number, long endedMs) {
@@ -49,7 +49,7 @@
         return quarantine.sendRule(CONTENT, nowMs);
     }
 
-    /** Evidence and the limit. */
+    /** Losses that count, and the limit. */
     @Nested
     class Evidence {
         @Test
@@ -63,7 +63,7 @@
             assertEquals(SendRule.REJECT, sendRule(0));
         }
 
-        /** Two routers had the same letter at one engine, and each lost it there. */
+        /** Two routers had sent the same content to one engine, and both lost it there. */
         @Test
         void serverCountsOnceIfSeveralRoutersLostIt() {
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
@@ -75,8 +75,8 @@
         }
 
         /**
-         * A domain loses its servers at one moment, and a letter that many callers have had begun
-         * on three of them.
+         * A domain loses its servers at once, and four of them had begun to run a content that many
+         * callers send.
          */
         @Test
         void serversThatEndTogetherCountOnce() {
@@ -89,7 +89,7 @@
             assertEquals(SendRule.REJECT, sendRule(3_000));
         }
 
-        /** The letter was sent on at once, and its next server ended before it could begin. */
+        /** The request was sent again at once, and its next server ended before it could begin. */
         @Test
         void serverThatEndsJustAfterAnotherDoesNotCount() {
             quarantine.recordLoss(CONTENT, new Loss(incarnation(1), 0, 1_000), 1_000);
@@ -98,17 +98,19 @@
             assertEquals(SendRule.ANY_SERVER, sendRule(1_020));
         }
 
-        /** A server that starts again under its id and ends again has ended twice. */
+        /** A server that restarts under its id and ends again counts as two losses. */
         @Test
         void eachIncarnationOfAServerCounts() {
             for (int start = 1; start <= Quarantine.LIMIT; start++) {
-                ServerIncarnation life = ServerIncarnation.of(EngineId.of("i-1"), start);
-                quarantine.recordLoss(CONTENT, new Loss(life, 0, RUN_MS), RUN_MS);
+                ServerIncarnation incarnation = ServerIncarnation.of(EngineId.of("i-1"), start);
+                quarantine.recordLoss(CONTENT, new Loss(incarnation, 0, RUN_MS), RUN_MS);
             }
             assertEquals(SendRule.REJECT, sendRule(0));
         }
 
-        /** Another server ends while it is still being found out that the last one did. */
+        /**
+         * Otherwise another server may end while the end of the last one is still being confirmed.
+         */
         @Test
         void requestsWaitDuringAnInquiry() {
             quarantine.beginInquiry(CONTENT, 0);
@@ -125,7 +127,7 @@
         }
     }
 
-    /** A household's letter was unlucky three times; its caller must get it all the same. */
+    /** A harmless content that coincided with three crashes must still be served. */
     @Nested
     class Clearing {
         @Test
@@ -138,7 +140,7 @@
             assertEquals(1, quarantine.countedLosses(CONTENT).size());
         }
 
-        /** Word of an old loss comes after the word that cleared it. */
+        /** The update with an old loss arrives after the content was cleared. */
         @Test
         void lateUpdateDoesNotRestoreAWithdrawnLoss() {
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
@@ -148,7 +150,7 @@
             assertEquals(SendRule.ANY_SERVER, sendRule(30));
         }
 
-        /** A connection limit was taken for the end of a server, which then answered. */
+        /** A connection limit was mistaken for the end of a server, which then answered. */
         @Test
         void serverThatAnswersDoesNotCount() {
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
@@ -156,7 +158,9 @@
             assertEquals(Change.CLEARED, quarantine.recordAlive(CONTENT, incarnation(1), 5));
         }
 
-        /** Sound work that was unlucky three times was refused for an hour. */
+        /**
+         * Without this, a harmless content that coincided with three crashes is held for an hour.
+         */
         @Test
         void contentIsTriedAgainAfterEachHoldWhichGrows() {
             loseThreeServers(0);
@@ -190,7 +194,7 @@
             assertEquals(SendRule.ANY_SERVER, sendRule(HOLD_MS));
         }
 
-        /** Routers told each other of an old content for ever. */
+        /** Without this, routers would keep sending each other an old content forever. */
         @Test
         void updateOfAnotherRouterDoesNotProlongTheHold() {
             loseThreeServers(0);
@@ -202,7 +206,7 @@
         }
     }
 
-    /** Twenty copies of one letter, sent at one moment. */
+    /** Several copies of one content are submitted at the same time. */
     @Nested
     class Trials {
         @Test
@@ -231,7 +235,7 @@
         }
     }
 
-    /** What routers tell each other. */
+    /** Updates between routers. */
     @Nested
     class Updates {
         @Test
@@ -239,37 +243,37 @@
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
             assertEquals(1, quarantine.drainUpdates(0).size());
             assertEquals(0, quarantine.drainUpdates(0).size());
-            CrashRecord told = CrashRecord.of(CONTENT).with(loss(2, 0));
+            CrashRecord received = CrashRecord.of(CONTENT).with(loss(2, 0));
             assertEquals(
                     Change.SUSPECTED,
-                    quarantine.handleUpdate(PEER, new ContentUpdate(told, false), 0));
+                    quarantine.handleUpdate(PEER, new ContentUpdate(received, false), 0));
             assertEquals(0, quarantine.drainUpdates(0).size());
         }
 
-        /** A peer's word comes while this router's own is still to be told. */
+        /** A peer's update arrives before this router has sent its own. */
         @Test
         void ofAPeerDoNotReplaceOwnUpdates() {
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
-            CrashRecord told = CrashRecord.of(CONTENT).with(loss(2, 0));
-            quarantine.handleUpdate(PEER, new ContentUpdate(told, false), 0);
+            CrashRecord received = CrashRecord.of(CONTENT).with(loss(2, 0));
+            quarantine.handleUpdate(PEER, new ContentUpdate(received, false), 0);
             assertEquals(1, quarantine.drainUpdates(0).size());
         }
 
-        /** Words are lost, doubled and come in any order: all routers still agree in the end. */
+        /** Updates are lost, doubled and reordered: all routers still reach the same state. */
         @Test
         void leadToTheSameStateInAnyOrder() {
             for (int seed = 0; seed < 200; seed++) {
                 Random random = new Random(seed);
-                List<ContentUpdate> words = new ArrayList<>();
+                List<ContentUpdate> updates = new ArrayList<>();
                 CrashRecord record = CrashRecord.of(CONTENT);
                 for (int i = 0; i < 6; i++) {
                     record =
                             random.nextInt(4) == 0 ? record.withdrawAll() : record.with(loss(i, 0));
-                    words.add(new ContentUpdate(record, false));
-                    words.add(new ContentUpdate(CrashRecord.of(CONTENT).with(loss(i, 0)), false));
+                    updates.add(new ContentUpdate(record, false));
+                    updates.add(new ContentUpdate(CrashRecord.of(CONTENT).with(loss(i, 0)), false));
                 }
-                Quarantine one = quarantineOf(words, random);
-                Quarantine other = quarantineOf(words, random);
+                Quarantine one = quarantineOf(updates, random);
+                Quarantine other = quarantineOf(updates, random);
                 assertEquals(lostIncarnations(one), lostIncarnations(other), "seed " + seed);
             }
         }
@@ -280,17 +284,17 @@
                     .collect(Collectors.toSet());
         }
 
-        private Quarantine quarantineOf(List<ContentUpdate> words, Random random) {
-            List<ContentUpdate> shuffled = new ArrayList<>(words);
-            shuffled.addAll(words.subList(0, random.nextInt(words.size())));
+        private Quarantine quarantineOf(List<ContentUpdate> updates, Random random) {
+            List<ContentUpdate> shuffled = new ArrayList<>(updates);
+            shuffled.addAll(updates.subList(0, random.nextInt(updates.size())));
             Collections.shuffle(shuffled, random);
             Quarantine quarantine = Quarantine.create(RouterId.of("r3"), HOLD_MS);
-            shuffled.forEach(w -> quarantine.handleUpdate(PEER, w, 0));
+            shuffled.forEach(u -> quarantine.handleUpdate(PEER, u, 0));
             return quarantine;
         }
     }
 
-    /** A caller makes thousands of contents that each end a server. */
+    /** A caller submits thousands of contents that each crash a server. */
     @Nested
     class Bounds {
         @Test
