--- a/masticweir/src/test/java/org/masticweir/forward/PlacementTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerSelectorTest.java
@@ -19,14 +19,14 @@
 import org.masticweir.id.RouterId;
 
 /** Which server gets a request. */
-class PlacementTest {
-    private final ForwardWorld world = new ForwardWorld().domain("a", 2).domain("b", 2);
+class ServerSelectorTest {
+    private final ForwardFixture fixture = new ForwardFixture().domain("a", 2).domain("b", 2);
 
     private Optional<BackendServer> choose() {
-        return world.placement.server(
-                ImmutableList.copyOf(world.servers),
-                ForwardWorld.PROMPT,
-                Optional.of(ForwardWorld.ENGINE),
+        return fixture.selector.select(
+                ImmutableList.copyOf(fixture.servers),
+                ForwardFixture.PROMPT,
+                Optional.of(ForwardFixture.ENGINE),
                 Set.of(),
                 0);
     }
@@ -36,38 +36,38 @@
      * other side, as those at home had just been lost, and so does the copy.
      */
     @Nested
-    class Holders {
+    class CopyHolders {
         private Optional<BackendServer> holderOf(String runner) {
-            return world.placement.holder(
-                    ImmutableList.copyOf(world.servers),
-                    world.byId(runner),
-                    ForwardWorld.PROMPT,
-                    ForwardWorld.ENGINE,
+            return fixture.selector.selectCopyHolder(
+                    ImmutableList.copyOf(fixture.servers),
+                    fixture.byId(runner),
+                    ForwardFixture.PROMPT,
+                    ForwardFixture.ENGINE,
                     0);
         }
 
         @Test
-        void ofRunsAwayFromHomeAreAtHome() {
-            world.domain("c", 2);
-            world.loads.addCopyTokens(ForwardWorld.life("a-1"), 40_000);
-            world.loads.addCopyTokens(ForwardWorld.life("a-2"), 60_000);
+        void ofRunsInOtherDomainAreInOwnDomain() {
+            fixture.domain("c", 2);
+            fixture.loads.addCopyTokens(ForwardFixture.incarnation("a-1"), 40_000);
+            fixture.loads.addCopyTokens(ForwardFixture.incarnation("a-2"), 60_000);
             assertEquals("a-1", holderOf("b-1").orElseThrow().id().value());
         }
 
         @Test
-        void ofRunsAtHomeAreElsewhereWhereMostMemoryIsFree() {
-            world.domain("c", 1);
-            world.loads.addCopyTokens(ForwardWorld.life("b-1"), 40_000);
-            world.loads.addCopyTokens(ForwardWorld.life("b-2"), 20_000);
-            world.loads.addCopyTokens(ForwardWorld.life("c-1"), 30_000);
+        void ofRunsInOwnDomainAreElsewhereWithMostFreeMemory() {
+            fixture.domain("c", 1);
+            fixture.loads.addCopyTokens(ForwardFixture.incarnation("b-1"), 40_000);
+            fixture.loads.addCopyTokens(ForwardFixture.incarnation("b-2"), 20_000);
+            fixture.loads.addCopyTokens(ForwardFixture.incarnation("c-1"), 30_000);
             assertEquals("b-2", holderOf("a-1").orElseThrow().id().value());
         }
 
         @Test
-        void ofRunsAwayFromHomeAreElsewhereWhileThoseAtHomeAreDoubtful() {
-            world.domain("c", 1);
-            world.health.recordFailure(world.byId("a-1"), 0);
-            world.health.recordFailure(world.byId("a-2"), 0);
+        void ofRunsInOtherDomainAreInThirdDomainIfOwnRecentlyFailed() {
+            fixture.domain("c", 1);
+            fixture.health.recordFailure(fixture.byId("a-1"), 0);
+            fixture.health.recordFailure(fixture.byId("a-2"), 0);
             assertEquals("c-1", holderOf("b-1").orElseThrow().id().value());
         }
     }
@@ -77,22 +77,23 @@
     class Engines {
         /** Two prompts in reading at one engine make all its streams pause. */
         @Test
-        void withoutPromptInReadingGoFirst() {
+        void withoutPrefillAreChosenFirst() {
             for (int i = 0; i < 4; i++) {
-                world.loads.recordSend(choose().orElseThrow().incarnation(), ForwardWorld.PROMPT);
+                fixture.loads.recordSend(
+                        choose().orElseThrow().incarnation(), ForwardFixture.PROMPT);
             }
-            world.servers.forEach(
-                    s -> assertEquals(1, world.loads.totalLoad(s.incarnation()).prefills()));
+            fixture.servers.forEach(
+                    s -> assertEquals(1, fixture.loads.totalLoad(s.incarnation()).prefills()));
         }
 
         @Test
-        void ofPeersCountToo() {
+        void loadedByPeersAreAvoided() {
             ServerLoad use = new ServerLoad(1, 1, 8_000, 9_000);
-            world.servers.stream()
+            fixture.servers.stream()
                     .filter(s -> !s.id().value().equals("b-2"))
                     .forEach(
                             s ->
-                                    world.loads.recordPeerLoad(
+                                    fixture.loads.recordPeerLoad(
                                             RouterId.of("r2"), s.incarnation(), use));
             assertEquals("b-2", choose().orElseThrow().id().value());
         }
@@ -102,10 +103,10 @@
          * other side although engines of the domain were idle.
          */
         @Test
-        void ofTheOwnDomainAreChosenWhileNoneReadsAPrompt() {
+        void ofOwnDomainAreChosenWithoutPrefills() {
             assertEquals("a", choose().orElseThrow().domain().value());
-            world.loads.recordSend(ForwardWorld.life("a-1"), RequestSize.none());
-            world.loads.recordSend(ForwardWorld.life("a-2"), RequestSize.none());
+            fixture.loads.recordSend(ForwardFixture.incarnation("a-1"), RequestSize.none());
+            fixture.loads.recordSend(ForwardFixture.incarnation("a-2"), RequestSize.none());
             assertEquals("a", choose().orElseThrow().domain().value());
         }
 
@@ -114,29 +115,31 @@
          * of the domain ran a report or two, so new ones had gone to idle engines elsewhere.
          */
         @Test
-        void ofTheOwnDomainAreChosenWhileTheyRunAFewRequests() {
+        void ofOwnDomainAreChosenWithFewRequests() {
             for (String engine : List.of("a-1", "a-2")) {
                 for (int i = 0; i < 3; i++) {
-                    world.loads.recordSend(ForwardWorld.life(engine), RequestSize.none());
+                    fixture.loads.recordSend(
+                            ForwardFixture.incarnation(engine), RequestSize.none());
                 }
             }
             assertEquals("a", choose().orElseThrow().domain().value());
         }
 
         @Test
-        void ofAnotherDomainAreChosenOnceThoseAtHomeRunManyMore() {
+        void ofOtherDomainAreChosenIfOwnRunManyMore() {
             for (String engine : List.of("a-1", "a-2")) {
                 for (int i = 0; i < 5; i++) {
-                    world.loads.recordSend(ForwardWorld.life(engine), RequestSize.none());
+                    fixture.loads.recordSend(
+                            ForwardFixture.incarnation(engine), RequestSize.none());
                 }
             }
             assertEquals("b", choose().orElseThrow().domain().value());
         }
 
         @Test
-        void ofAnotherDomainAreChosenBeforeASecondPromptAtHome() {
-            world.loads.recordSend(ForwardWorld.life("a-1"), ForwardWorld.PROMPT);
-            world.loads.recordSend(ForwardWorld.life("a-2"), ForwardWorld.PROMPT);
+        void ofOtherDomainAreChosenBeforeSecondPrefillInOwn() {
+            fixture.loads.recordSend(ForwardFixture.incarnation("a-1"), ForwardFixture.PROMPT);
+            fixture.loads.recordSend(ForwardFixture.incarnation("a-2"), ForwardFixture.PROMPT);
             assertEquals("b", choose().orElseThrow().domain().value());
         }
 
@@ -145,27 +148,29 @@
          * each between two steps of the streams that run there.
          */
         @Test
-        void thatReadTwoPromptsAreNotChosen() {
-            for (int i = 0; i < 2 * world.servers.size(); i++) {
-                world.loads.recordSend(choose().orElseThrow().incarnation(), ForwardWorld.PROMPT);
+        void withTwoPrefillsAreNotChosen() {
+            for (int i = 0; i < 2 * fixture.servers.size(); i++) {
+                fixture.loads.recordSend(
+                        choose().orElseThrow().incarnation(), ForwardFixture.PROMPT);
             }
-            world.servers.forEach(
-                    s -> assertEquals(2, world.loads.totalLoad(s.incarnation()).prefills()));
+            fixture.servers.forEach(
+                    s -> assertEquals(2, fixture.loads.totalLoad(s.incarnation()).prefills()));
             assertTrue(choose().isEmpty());
-            world.loads.recordPrefillEnd(ForwardWorld.life("b-1"), ForwardWorld.PROMPT);
+            fixture.loads.recordPrefillEnd(
+                    ForwardFixture.incarnation("b-1"), ForwardFixture.PROMPT);
             assertEquals("b-1", choose().orElseThrow().id().value());
         }
 
         @Test
-        void withoutRoomInMemoryAreNotChosen() {
-            world.servers.forEach(s -> world.loads.addCopyTokens(s.incarnation(), 80_000));
+        void withoutFreeMemoryAreNotChosen() {
+            fixture.servers.forEach(s -> fixture.loads.addCopyTokens(s.incarnation(), 80_000));
             assertTrue(choose().isEmpty());
         }
 
         @Test
         void thatLeaveAreNotChosen() {
             List<BackendServer> leaving = new ArrayList<>();
-            for (BackendServer s : world.servers) {
+            for (BackendServer s : fixture.servers) {
                 leaving.add(
                         new BackendServer(
                                 s.incarnation(),
@@ -175,8 +180,8 @@
                                 s.slots(),
                                 true));
             }
-            world.servers.clear();
-            world.servers.addAll(leaving);
+            fixture.servers.clear();
+            fixture.servers.addAll(leaving);
             assertTrue(choose().isEmpty());
         }
     }
@@ -187,47 +192,47 @@
      * one engine far below those that go by their own sends.
      */
     @Nested
-    class WaveOverEightRouters {
+    class BurstOverEightRouters {
         private static final int ROUTERS = 8;
         private static final int ENGINES = 64;
         private static final int PROMPTS = 600;
         private static final long GAP_MS = 17;
         private static final long READ_MS = 1_100;
 
-        private int mostTogether(boolean telling) {
-            List<ForwardWorld> routers = new ArrayList<>();
+        private int maxConcurrentPrefills(boolean isSharingLoad) {
+            List<ForwardFixture> routers = new ArrayList<>();
             for (int i = 0; i < ROUTERS; i++) {
-                routers.add(new ForwardWorld().domain("a", ENGINES));
+                routers.add(new ForwardFixture().domain("a", ENGINES));
             }
             SplittableRandom random = new SplittableRandom(11);
-            Map<ServerIncarnation, List<Long>> reading = new HashMap<>();
+            Map<ServerIncarnation, List<Long>> prefillEndsMs = new HashMap<>();
             List<Runnable> ends = new ArrayList<>();
-            int most = 0;
+            int max = 0;
             for (int i = 0; i < PROMPTS; i++) {
                 long now = i * GAP_MS;
                 int r = random.nextInt(ROUTERS);
-                ForwardWorld router = routers.get(r);
+                ForwardFixture router = routers.get(r);
                 ServerIncarnation engine =
-                        router.placement
-                                .server(
+                        router.selector
+                                .select(
                                         ImmutableList.copyOf(router.servers),
-                                        ForwardWorld.PROMPT,
-                                        Optional.of(ForwardWorld.ENGINE),
+                                        ForwardFixture.PROMPT,
+                                        Optional.of(ForwardFixture.ENGINE),
                                         Set.of(),
                                         now)
                                 .orElseThrow()
                                 .incarnation();
-                router.loads.recordSend(engine, ForwardWorld.PROMPT);
-                List<Long> until = reading.computeIfAbsent(engine, e -> new ArrayList<>());
+                router.loads.recordSend(engine, ForwardFixture.PROMPT);
+                List<Long> until = prefillEndsMs.computeIfAbsent(engine, e -> new ArrayList<>());
                 until.removeIf(ms -> ms <= now);
                 until.add(now + READ_MS);
-                most = Math.max(most, until.size());
-                ends.add(() -> router.loads.recordPrefillEnd(engine, ForwardWorld.PROMPT));
+                max = Math.max(max, until.size());
+                ends.add(() -> router.loads.recordPrefillEnd(engine, ForwardFixture.PROMPT));
                 ends.add(
                         () -> {
-                            router.loads.recordEnd(engine, ForwardWorld.PROMPT);
-                            if (telling) {
-                                tell(routers, r, engine);
+                            router.loads.recordEnd(engine, ForwardFixture.PROMPT);
+                            if (isSharingLoad) {
+                                shareLoad(routers, r, engine);
                             }
                         });
                 if (i >= READ_MS / GAP_MS) {
@@ -235,14 +240,14 @@
                     ends.get(first).run();
                     ends.get(first + 1).run();
                 }
-                if (telling) {
-                    tell(routers, r, engine);
+                if (isSharingLoad) {
+                    shareLoad(routers, r, engine);
                 }
             }
-            return most;
+            return max;
         }
 
-        private void tell(List<ForwardWorld> routers, int from, ServerIncarnation engine) {
+        private void shareLoad(List<ForwardFixture> routers, int from, ServerIncarnation engine) {
             for (int i = 0; i < ROUTERS; i++) {
                 if (i != from) {
                     routers.get(i)
@@ -256,27 +261,29 @@
         }
 
         @Test
-        void isSpreadByThoseThatTell() {
-            int alone = mostTogether(false);
-            int telling = mostTogether(true);
-            assertTrue(telling <= 3, "at most " + telling + " prompts together");
-            assertTrue(alone > telling, "alone " + alone + ", telling " + telling);
+        void isSpreadIfRoutersShareLoad() {
+            int withoutSharing = maxConcurrentPrefills(false);
+            int withSharing = maxConcurrentPrefills(true);
+            assertTrue(withSharing <= 3, "at most " + withSharing + " prompts together");
+            assertTrue(
+                    withoutSharing > withSharing,
+                    "alone " + withoutSharing + ", telling " + withSharing);
         }
     }
 
     /** Requests without a prompt. */
     @Nested
     class PlainServers {
-        private BackendServer plain() {
+        private BackendServer choosePlain() {
             return ServerSelector.create(
-                            world.loads,
-                            world.health,
-                            world.notices,
-                            world.limits,
+                            fixture.loads,
+                            fixture.health,
+                            fixture.notices,
+                            fixture.limits,
                             DomainId.of("a"),
                             new SplittableRandom(1))
-                    .server(
-                            ImmutableList.copyOf(world.servers),
+                    .select(
+                            ImmutableList.copyOf(fixture.servers),
                             RequestSize.none(),
                             Optional.empty(),
                             Set.of(),
@@ -285,15 +292,15 @@
         }
 
         @Test
-        void thatSayTheyAreFullAreTheLastChoice() {
-            world.loads.recordServerReport(ForwardWorld.life("a-1"), 96, 5);
-            world.loads.recordServerReport(ForwardWorld.life("a-2"), 96, 5);
-            assertEquals("b", plain().domain().value());
+        void thatReportFullLoadAreChosenLast() {
+            fixture.loads.recordServerReport(ForwardFixture.incarnation("a-1"), 96, 5);
+            fixture.loads.recordServerReport(ForwardFixture.incarnation("a-2"), 96, 5);
+            assertEquals("b", choosePlain().domain().value());
         }
 
         @Test
-        void ofTheOwnDomainGoFirstWhenAllIsIdle() {
-            assertEquals("a", plain().domain().value());
+        void ofOwnDomainAreChosenFirstIfAllAreIdle() {
+            assertEquals("a", choosePlain().domain().value());
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/forward/ServiceRepeatsTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServiceRetryBudgetsTest.java
@@ -12,12 +12,12 @@
 import org.masticweir.permits.SharedRate;
 
 /** What of the shared budget of repeats a router may use by itself, and what it asks for. */
-class ServiceRepeatsTest {
+class ServiceRetryBudgetsTest {
     private static final ServiceName SERVICE = ServiceName.of("lookups");
     private static final double SHARE = 0.8;
     private static final double WINDOW_S = 10;
 
-    private static int repeatsOf(ServiceRetryBudgets repeats) {
+    private static int countRetries(ServiceRetryBudgets repeats) {
         int granted = 0;
         while (repeats.tryRetry(SERVICE, 0)) {
             granted++;
@@ -28,18 +28,18 @@
     /** Whole repeats of eight tenths of the share; a router without requests has none. */
     @ParameterizedTest
     @CsvSource({"0, 0", "1, 0", "2, 1", "10, 6", "100, 64"})
-    void aRoutersOwnRequestsAllowAShareOfThem(int requests, int expected) {
+    void ownRequestsAllowShareOfRetries(int requests, int expected) {
         ServiceRetryBudgets repeats = ServiceRetryBudgets.of(SHARE, 150);
         for (int i = 0; i < requests; i++) {
             repeats.recordRequest(SERVICE, 0);
         }
-        assertEquals(expected, repeatsOf(repeats));
+        assertEquals(expected, countRetries(repeats));
     }
 
     /** The allowance has a fraction where the platform divides it by the size of a fleet. */
     @ParameterizedTest
     @ValueSource(doubles = {20, 24.193548387096776, 150, 150.9, 1_000})
-    void theRateOfTheAllowanceStaysWithinItInEachWindow(double allowance) {
+    void rateStaysWithinAllowanceInEachWindow(double allowance) {
         SharedRate rate = ServiceRetryBudgets.of(SHARE, allowance).allowance().orElseThrow();
         double most = WINDOW_S * rate.perSecond() + rate.burst();
         assertTrue(most <= allowance, most + " in a window");
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void noPermitIsAskedForWhileNoneIsToBeHad() {
+    void permitIsNotRequestedWhileSuspended() {
         ServiceRetryBudgets repeats = ServiceRetryBudgets.of(SHARE, 150);
         assertTrue(repeats.mayRequestPermit(SERVICE, 0));
         repeats.suspendPermits(SERVICE, 100);
--- /dev/null
+++ b/masticweir/src/test/java/org/masticweir/forward/SilenceTimerTest.java
@@ -0,0 +1,142 @@
+package org.masticweir.forward;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.Set;
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+import org.masticweir.catalog.Repeatability;
+
+/** How long an engine may be silent, and what its own word changes. */
+class SilenceTimerTest {
+    private static final long GOAL_MS = ForwardFixture.GOAL_MS;
+
+    private final ForwardFixture fixture = new ForwardFixture().domain("a", 1);
+    private final SilenceTimeouts timeouts = SilenceTimeouts.create();
+
+    private SilenceTimer timerOfSend(boolean fromCopy) {
+        Step.Send send =
+                new Step.Send(
+                        fixture.servers.get(0), Optional.empty(), fromCopy, OptionalLong.empty());
+        LoadEntry.open(fixture.loads, send, ForwardFixture.PROMPT);
+        RequestParameters parameters = ForwardFixture.parameters(Repeatability.RESUMABLE, 5);
+        return SilenceTimer.of(send, parameters, fixture.loads, timeouts, 0);
+    }
+
+    private void recordPrefills(long ms, int times) {
+        for (int i = 0; i < times; i++) {
+            timeouts.recordPrefill(8_200, ms);
+        }
+    }
+
+    /** The prompt is being read. */
+    @Nested
+    class BeforeTheFirstEvent {
+        @Test
+        void timeoutIsHalfOfGoalIfPrefillSpeedIsUnknown() {
+            assertEquals(GOAL_MS / 2, timerOfSend(false).deadlineMs());
+        }
+
+        @Test
+        void timeoutFollowsPrefillSpeed() {
+            recordPrefills(1_000, 20);
+            assertEquals(1_550, timerOfSend(false).deadlineMs());
+        }
+
+        /**
+         * After all routers had started again, reports went from engine to engine and none read
+         * them: prompts that still lay in engines' memory had been read in no time, the bound
+         * shrank to 580 ms, and a whole reading takes 1,030 ms.
+         */
+        @Test
+        void timeoutIsNotShortenedByCachedPrompts() {
+            recordPrefills(1_000, 5);
+            recordPrefills(20, 30);
+            assertTrue(timerOfSend(false).deadlineMs() >= GOAL_MS / 4);
+        }
+
+        /**
+         * A report began 4.5 s late: its engine's whole domain went dark as it read the prompt, and
+         * the router waited for the reading although other streams had shown the loss.
+         */
+        @Test
+        void needsActionAtOnceIfServerIsDown() {
+            SilenceTimer silence = timerOfSend(false);
+            assertFalse(silence.needsAction(fixture.health, 400));
+            fixture.health.recordFailure(fixture.servers.get(0), 390);
+            assertTrue(silence.needsAction(fixture.health, 400));
+            assertEquals(400 + SilenceTimer.CHECK_INTERVAL_MS, silence.nextCheckMs(400));
+        }
+
+        @Test
+        void lossIsNotCertain() {
+            assertFalse(timerOfSend(false).isLossCertain());
+            assertTrue(timerOfSend(true).isLossCertain());
+        }
+    }
+
+    /** An engine ran a report, dropped it without a sign, and the caller waited 18 s for it. */
+    @Nested
+    class ReportOfEngine {
+        private final SilenceTimer silence = timerOfSend(false);
+
+        private boolean mayHaveRequest(int admitted, int waiting, String... running) {
+            return silence.recordReport(
+                    new EngineReport(Set.of(running), admitted, waiting, OptionalLong.empty()),
+                    "r1",
+                    2_300);
+        }
+
+        @Test
+        void showsLossIfEngineIsIdle() {
+            assertFalse(mayHaveRequest(0, 0));
+            assertFalse(mayHaveRequest(2, 0, "r2", "r3"));
+        }
+
+        @Test
+        void leavesRequestIfEngineIsBusy() {
+            assertTrue(mayHaveRequest(1, 0));
+            assertTrue(mayHaveRequest(1, 1, "r2"));
+            assertTrue(mayHaveRequest(1, 0, "r1"));
+        }
+
+        /** A prompt was taken from the engine that had begun to read it, by an older report. */
+        @Test
+        void isIgnoredIfRequestWasJustSent() {
+            EngineReport idle = new EngineReport(Set.of(), 0, 0, OptionalLong.empty());
+            assertTrue(silence.recordReport(idle, "r1", 256));
+            assertFalse(silence.recordReport(idle, "r1", SilenceTimer.MAX_REPORT_AGE_MS));
+        }
+
+        @Test
+        void restartsTimer() {
+            long allowedMs = silence.deadlineMs();
+            mayHaveRequest(1, 0);
+            assertEquals(2_300 + allowedMs, silence.deadlineMs());
+        }
+    }
+
+    /** The engine makes tokens. */
+    @Nested
+    class BetweenEvents {
+        @Test
+        void timeoutIsHalfOfGapGoal() {
+            SilenceTimer silence = timerOfSend(true);
+            silence.recordEvent(100);
+            assertEquals(100 + 350, silence.deadlineMs());
+        }
+
+        @Test
+        void timeoutGrowsWithPrefills() {
+            SilenceTimer silence = timerOfSend(true);
+            fixture.loads.recordSend(fixture.servers.get(0).incarnation(), ForwardFixture.PROMPT);
+            silence.recordEvent(100);
+            assertTrue(silence.deadlineMs() > 100 + 350);
+            assertTrue(silence.deadlineMs() < 100 + 700);
+        }
+    }
+}
--- /dev/null
+++ b/masticweir/src/test/java/org/masticweir/forward/StreamDurationEstimatorTest.java
@@ -0,0 +1,37 @@
+package org.masticweir.forward;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.OptionalLong;
+import org.junit.jupiter.api.Test;
+
+/** How long a stream is expected to take. */
+class StreamDurationEstimatorTest {
+    private final StreamDurationEstimator estimator = StreamDurationEstimator.create();
+
+    @Test
+    void isEmptyBeforeFirstObservation() {
+        assertTrue(estimator.expectedMs(ForwardFixture.PROMPT).isEmpty());
+    }
+
+    /**
+     * Reports break off in their middle while a router leaves: it took all that came in the first
+     * two seconds, the long ones too.
+     */
+    @Test
+    void growsWithMaxOutputTokens() {
+        estimator.observe(new RequestSize(8_000, 1_000), 1_000, 4_000);
+        assertEquals(OptionalLong.of(6_500), estimator.expectedMs(new RequestSize(8_000, 1_000)));
+        assertEquals(OptionalLong.of(9_100), estimator.expectedMs(new RequestSize(8_000, 1_500)));
+    }
+
+    @Test
+    void adaptsToNewObservations() {
+        estimator.observe(new RequestSize(8_000, 1_000), 1_000, 4_000);
+        for (int i = 0; i < 40; i++) {
+            estimator.observe(new RequestSize(8_000, 1_000), 2_000, 8_000);
+        }
+        assertTrue(estimator.expectedMs(new RequestSize(8_000, 1_000)).getAsLong() > 12_000);
+    }
+}
--- a/masticweir/src/test/java/org/masticweir/retry/RetryTest.java
+++ b/masticweir/src/test/java/org/masticweir/retry/RetryTest.java
@@ -51,7 +51,7 @@
          * router sends it again to another engine. Cause: a lost answer taken for a refusal.
          */
         @Test
-        void nonIdempotentWorkThatMayHaveRunIsNeverSentAgain() {
+        void nonIdempotentRequestThatMayHaveRunIsNotRetried() {
             RetryDecision d = policy.decide(failed(Verdict.MAY_HAVE_RUN, false, 1, 9_000), 0);
             GiveUp g = assertInstanceOf(GiveUp.class, d);
             assertEquals(Verdict.MAY_HAVE_RUN, g.verdict());
@@ -59,7 +59,7 @@
         }
 
         @Test
-        void whatIsSafeIsSentAgainAFewTimes() {
+        void safeRequestIsRetriedUpToMaxSends() {
             for (boolean idempotent : List.of(true, false)) {
                 FailedAttempt f = failed(Verdict.NOT_RUN, idempotent, 1, 9_000);
                 assertInstanceOf(Retry.class, policy.decide(f, 0));
@@ -69,7 +69,7 @@
         }
 
         @Test
-        void nothingIsSentAcrossTheDeadline() {
+        void nothingIsRetriedPastDeadline() {
             FailedAttempt f = failed(Verdict.NOT_RUN, true, 1, 1_000);
             assertInstanceOf(GiveUp.class, policy.decide(f, 850));
             RetryDecision past = policy.decide(f, 1_000);
@@ -81,7 +81,7 @@
     @Nested
     class Budget {
         @Test
-        void smallTeamsCannotAddUpTheirFloors() {
+        void floorsOfSmallTeamsDoNotAddUp() {
             RetryBudget budget = RetryBudget.create();
             int retries = 0;
             for (int n = 0; n < 1_000; n++) {
@@ -93,7 +93,7 @@
         }
 
         @Test
-        void oneTeamCannotUseUpAnothersShare() {
+        void oneTeamCannotExhaustShareOfAnother() {
             RetryBudget budget = RetryBudget.create();
             for (int n = 0; n < 1_000; n++) {
                 budget.recordFirstSend(REPORTS, TEAM, 0);
@@ -123,7 +123,7 @@
                 retries++;
             }
         }
-        long windows = now / (SendWindow.SLOTS * SendWindow.SLOT_MS) + 2;
+        long windows = now / (SendWindow.BUCKET_COUNT * SendWindow.BUCKET_MS) + 2;
         double allowed = Math.max(0.1 * gapsMs.size(), 0) + floor * windows;
         assertTrue(retries <= allowed, retries + " retries, " + gapsMs.size() + " first sends");
     }
