--- a/masticweir/src/main/java/org/masticweir/forward/LoadTracker.java
+++ b/masticweir/src/main/java/org/masticweir/forward/LoadTracker.java
@@ -10,22 +10,25 @@
 import org.masticweir.id.RouterId;
 
 /**
- * What is known of each backend server's load; owned by the traffic thread.
+ * Known load of each backend server; owned by the traffic thread.
  *
- * <p>Three sources: what this router has sent, what peers say they have sent, and what servers say
- * of themselves in their answers. Peers' words are totals, not differences, so that a lost one is
- * mended by the next.
+ * <p>There are three sources: the sends of this router, the loads that its peers report for their
+ * own sends, and the request counts that servers report in their answers. Peers report totals, not
+ * differences, so that the next report corrects a lost one.
  */
 public final class LoadTracker {
-    /** How long a server's own word on its queue counts, in ms; the queue is another one then. */
-    static final long REPORT_MS = 400;
+    /**
+     * How long the request count reported by a server is used, in ms; after that its queue has
+     * changed.
+     */
+    static final long REPORT_VALID_MS = 400;
 
-    private final Map<ServerIncarnation, Server> servers = new HashMap<>();
+    private final Map<ServerIncarnation, TrackedServer> servers = new HashMap<>();
     private final Map<RouterId, Map<ServerIncarnation, ServerLoad>> peers = new HashMap<>();
     private final Set<ServerIncarnation> changed = new HashSet<>();
 
-    /** State of one server. */
-    private static final class Server {
+    /** Load of one server. */
+    private static final class TrackedServer {
         private ServerLoad own = ServerLoad.none();
         private ServerLoad others = ServerLoad.none();
         private int reportedOthers;
@@ -38,121 +41,127 @@
         return new LoadTracker();
     }
 
-    /** A request was sent to {@code id}. */
-    public void recordSend(ServerIncarnation id, RequestSize size) {
-        update(id, server(id).own.sent(size));
+    /** Records a request that was sent to {@code incarnation}. */
+    public void recordSend(ServerIncarnation incarnation, RequestSize size) {
+        updateOwnLoad(incarnation, server(incarnation).own.plusRequest(size));
     }
 
-    /** The prompt of a request was read: its first event came, or it ended. */
-    public void recordPrefillEnd(ServerIncarnation id, RequestSize size) {
-        update(id, server(id).own.read(size));
+    /** Records the end of a prefill: the first event arrived, or the request ended. */
+    public void recordPrefillEnd(ServerIncarnation incarnation, RequestSize size) {
+        updateOwnLoad(incarnation, server(incarnation).own.minusPrefill(size));
     }
 
-    /** A request ended at {@code id}, after it was {@link #recordPrefillEnd}. */
-    public void recordEnd(ServerIncarnation id, RequestSize size) {
-        update(id, server(id).own.ended(size));
+    /** Records the end of a request at {@code incarnation}, after {@link #recordPrefillEnd}. */
+    public void recordEnd(ServerIncarnation incarnation, RequestSize size) {
+        updateOwnLoad(incarnation, server(incarnation).own.minusRequest(size));
     }
 
-    /** A copy of {@code tokens} may come to lie at {@code id}; negative when it is given up. */
-    public void addCopyTokens(ServerIncarnation id, long tokens) {
-        update(id, server(id).own.holding(tokens));
+    /**
+     * Adds the {@code tokens} that a copy at {@code incarnation} may reach; negative once the copy
+     * is released.
+     */
+    public void addCopyTokens(ServerIncarnation incarnation, long tokens) {
+        updateOwnLoad(incarnation, server(incarnation).own.plusCopyTokens(tokens));
     }
 
-    /** A server told how many requests it has in all. */
-    public void recordServerReport(ServerIncarnation id, int present, long nowMs) {
-        Server server = server(id);
-        // The answered request itself is still counted in both figures.
-        server.reportedOthers = Math.max(0, present - server.own.running());
+    /** Records how many requests a server reports in total. */
+    public void recordServerReport(ServerIncarnation incarnation, int requestCount, long nowMs) {
+        TrackedServer server = server(incarnation);
+        // Both figures still include the answered request.
+        server.reportedOthers = Math.max(0, requestCount - server.own.running());
         server.reportedAtMs = nowMs;
     }
 
-    /** A peer told what it has at a server now. */
-    public void recordPeerLoad(RouterId peer, ServerIncarnation id, ServerLoad use) {
-        checkNotNull(use, "use");
-        peers.computeIfAbsent(peer, p -> new HashMap<>()).put(id, use);
-        sumOthers(id);
+    /** Records the load that a peer reports for a server. */
+    public void recordPeerLoad(RouterId peer, ServerIncarnation incarnation, ServerLoad load) {
+        checkNotNull(load, "load");
+        peers.computeIfAbsent(peer, p -> new HashMap<>()).put(incarnation, load);
+        updatePeerLoad(incarnation);
     }
 
-    /** A peer is out of reach; what it has sent is not known any more. */
+    /** Forgets the load of a peer that is unreachable, as it is no longer known. */
     public void forgetPeer(RouterId peer) {
-        Map<ServerIncarnation, ServerLoad> gone = peers.remove(peer);
-        if (gone != null) {
-            gone.keySet().forEach(this::sumOthers);
+        Map<ServerIncarnation, ServerLoad> forgotten = peers.remove(peer);
+        if (forgotten != null) {
+            forgotten.keySet().forEach(this::updatePeerLoad);
         }
     }
 
-    /** Forgets servers that are gone and that nothing of this router is at. */
-    public void retainServers(Set<ServerIncarnation> present) {
+    /** Forgets servers that are no longer listed and have no load of this router. */
+    public void retainServers(Set<ServerIncarnation> listed) {
         servers.entrySet()
                 .removeIf(
                         e ->
-                                !present.contains(e.getKey())
+                                !listed.contains(e.getKey())
                                         && e.getValue().own.equals(ServerLoad.none()));
-        peers.values().forEach(p -> p.keySet().retainAll(present));
+        peers.values().forEach(p -> p.keySet().retainAll(listed));
     }
 
-    /** Returns what all known routers have at {@code id}. */
-    public ServerLoad totalLoad(ServerIncarnation id) {
-        Server server = servers.get(id);
+    /** Returns the load of all known routers at {@code incarnation}. */
+    public ServerLoad totalLoad(ServerIncarnation incarnation) {
+        TrackedServer server = servers.get(incarnation);
         return server == null ? ServerLoad.none() : server.own.plus(server.others);
     }
 
-    /** Returns what this router has at {@code id}. */
-    public ServerLoad ownLoad(ServerIncarnation id) {
-        Server server = servers.get(id);
+    /** Returns the load of this router at {@code incarnation}. */
+    public ServerLoad ownLoad(ServerIncarnation incarnation) {
+        TrackedServer server = servers.get(incarnation);
         return server == null ? ServerLoad.none() : server.own;
     }
 
-    /** Returns how many requests {@code id} has by its own word and by what was sent since. */
-    public int present(ServerIncarnation id, long nowMs) {
-        Server server = servers.get(id);
+    /**
+     * Returns the number of requests at {@code incarnation}, from its own report and the sends
+     * since.
+     */
+    public int requestCount(ServerIncarnation incarnation, long nowMs) {
+        TrackedServer server = servers.get(incarnation);
         if (server == null) {
             return 0;
         }
-        boolean fresh = nowMs - server.reportedAtMs <= REPORT_MS;
+        boolean fresh = nowMs - server.reportedAtMs <= REPORT_VALID_MS;
         int others = fresh ? server.reportedOthers : server.others.running();
         return server.own.running() + others;
     }
 
-    /** Returns the engines at which this router has something. */
+    /** Returns the engines with load of this router. */
     public Set<ServerIncarnation> loadedEngines() {
-        Set<ServerIncarnation> used = new HashSet<>();
+        Set<ServerIncarnation> loaded = new HashSet<>();
         servers.forEach(
-                (id, server) -> {
+                (incarnation, server) -> {
                     if (server.own.memoryTokens() > 0) {
-                        used.add(id);
+                        loaded.add(incarnation);
                     }
                 });
-        return used;
+        return loaded;
     }
 
-    /** Returns the engines at which this router's use changed since the last call. */
+    /** Returns the engines whose load of this router has changed since the last call. */
     public Set<ServerIncarnation> drainChanged() {
-        Set<ServerIncarnation> taken = Set.copyOf(changed);
+        Set<ServerIncarnation> drained = Set.copyOf(changed);
         changed.clear();
-        return taken;
+        return drained;
     }
 
-    private void update(ServerIncarnation id, ServerLoad use) {
-        Server server = server(id);
-        boolean told =
-                !use.equals(server.own)
-                        && (use.memoryTokens() > 0 || server.own.memoryTokens() > 0);
-        server.own = use;
-        if (told) {
-            changed.add(id);
+    private void updateOwnLoad(ServerIncarnation incarnation, ServerLoad load) {
+        TrackedServer server = server(incarnation);
+        boolean isAnnounced =
+                !load.equals(server.own)
+                        && (load.memoryTokens() > 0 || server.own.memoryTokens() > 0);
+        server.own = load;
+        if (isAnnounced) {
+            changed.add(incarnation);
         }
     }
 
-    private void sumOthers(ServerIncarnation id) {
+    private void updatePeerLoad(ServerIncarnation incarnation) {
         ServerLoad sum = ServerLoad.none();
         for (Map<ServerIncarnation, ServerLoad> peer : peers.values()) {
-            sum = sum.plus(peer.getOrDefault(id, ServerLoad.none()));
+            sum = sum.plus(peer.getOrDefault(incarnation, ServerLoad.none()));
         }
-        server(id).others = sum;
+        server(incarnation).others = sum;
     }
 
-    private Server server(ServerIncarnation id) {
-        return servers.computeIfAbsent(id, i -> new Server());
+    private TrackedServer server(ServerIncarnation incarnation) {
+        return servers.computeIfAbsent(incarnation, i -> new TrackedServer());
     }
 }
--- a/masticweir/src/main/java/org/masticweir/forward/RequestWait.java
+++ b/masticweir/src/main/java/org/masticweir/forward/RequestWait.java
@@ -5,82 +5,87 @@
 import java.util.Optional;
 
 /**
- * How one request waits for a server, and when it is refused instead; owned by the traffic thread.
+ * Waiting of one request for a server, and the reasons to refuse it; owned by the traffic thread.
  *
- * <p>Requests for engines that were not sent yet wait in a {@link WaitQueue}. All others look for
- * themselves: plain ones as they wait for a moment only, and those sent before as each of them has
- * other servers left to try.
+ * <p>Unsent requests for engines wait in a {@link WaitQueue}. All others check for a server on
+ * their own: plain requests because they wait only briefly, and retries because each has other
+ * servers left to try.
  */
 final class RequestWait implements AutoCloseable {
-    /** Part of the time goal for which a plain request waits before it is refused. */
-    private static final int PLAIN_PART = 8;
+    /** Divisor of the time goal that gives how long a plain request waits before it is refused. */
+    private static final int PLAIN_GOAL_DIVISOR = 8;
 
     /**
-     * Part of the time goal for which a request waits for a place at an engine. A prompt is read in
-     * less than half of its goal, so that one which waits for the other half is still answered in
-     * time.
+     * Divisor of the time goal that gives how long a request waits for a slot of an engine. A
+     * prefill takes less than half of the goal, so a request that waits for the other half is still
+     * answered in time.
      */
-    private static final int ENGINE_PART = 2;
+    private static final int ENGINE_GOAL_DIVISOR = 2;
 
-    private final RequestParameters plan;
-    private final WaitQueue line;
-    private Optional<WaitQueue.Place> place = Optional.empty();
+    private final RequestParameters request;
+    private final WaitQueue queue;
+    private Optional<WaitQueue.Entry> entry = Optional.empty();
 
-    RequestWait(RequestParameters plan, WaitQueue line) {
-        this.plan = checkNotNull(plan, "plan");
-        this.line = checkNotNull(line, "line");
+    RequestWait(RequestParameters request, WaitQueue queue) {
+        this.request = checkNotNull(request, "request");
+        this.queue = checkNotNull(queue, "queue");
     }
 
-    /** Returns whether others are to be served before, though a server could take the request. */
+    /**
+     * Returns whether other requests must be served first, even if a server could accept this one.
+     */
     boolean mustWait(int sends, long nowMs) {
-        if (!standsInLine(sends)) {
+        if (!usesQueue(sends)) {
             return false;
         }
-        return place.isPresent() ? !line.isFirst(place.get(), nowMs) : ahead(nowMs) > 0;
+        return entry.isPresent() ? !queue.isFirst(entry.get(), nowMs) : countAhead(nowMs) > 0;
     }
 
     /**
-     * Waits, or tells why that is of no use.
+     * Adds the request to the queue if it belongs there, or returns why waiting can't help.
      *
-     * @param running requests of this router that run at the service's servers
+     * @param running requests of this router that run at the servers of the service
      */
-    Optional<String> refusal(int sends, int running, long nowMs) {
-        if (isOver(nowMs)) {
+    Optional<String> enterQueueOrRefuse(int sends, int running, long nowMs) {
+        if (hasTimedOut(nowMs)) {
             return Optional.of("no server is free");
         }
-        if (standsInLine(sends) && place.isEmpty()) {
+        if (usesQueue(sends) && entry.isEmpty()) {
             // A run lasts about as long as the goal of its first event, or longer.
-            long lifeMs = plan.route().goalMs();
-            if (ahead(nowMs) >= WaitQueue.longest(running, patienceMs(), lifeMs)) {
+            long runMs = request.route().goalMs();
+            if (countAhead(nowMs) >= WaitQueue.capacity(running, maxWaitMs(), runMs)) {
                 return Optional.of("too many wait");
             }
-            long untilMs = plan.receivedMs() + patienceMs();
-            place = Optional.of(line.enter(plan.service(), plan.route().priority(), untilMs));
+            long expiresMs = request.receivedMs() + maxWaitMs();
+            entry =
+                    Optional.of(
+                            queue.add(request.service(), request.route().priority(), expiresMs));
         }
         return Optional.empty();
     }
 
-    /** Returns whether the request has waited as long as is of use. */
-    boolean isOver(long nowMs) {
-        return nowMs - plan.receivedMs() >= patienceMs();
+    /** Returns whether the request has waited for the longest useful time. */
+    boolean hasTimedOut(long nowMs) {
+        return nowMs - request.receivedMs() >= maxWaitMs();
     }
 
-    /** Leaves the line. */
+    /** Leaves the queue. */
     @Override
     public void close() {
-        place.ifPresent(line::leave);
-        place = Optional.empty();
+        entry.ifPresent(queue::remove);
+        entry = Optional.empty();
     }
 
-    private int ahead(long nowMs) {
-        return line.ahead(plan.service(), plan.route().priority(), nowMs);
+    private int countAhead(long nowMs) {
+        return queue.countAhead(request.service(), request.route().priority(), nowMs);
     }
 
-    private long patienceMs() {
-        return plan.route().goalMs() / (plan.engine().isPresent() ? ENGINE_PART : PLAIN_PART);
+    private long maxWaitMs() {
+        return request.route().goalMs()
+                / (request.engine().isPresent() ? ENGINE_GOAL_DIVISOR : PLAIN_GOAL_DIVISOR);
     }
 
-    private boolean standsInLine(int sends) {
-        return plan.engine().isPresent() && sends == 0;
+    private boolean usesQueue(int sends) {
+        return request.engine().isPresent() && sends == 0;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/forward/ServiceRetryBudgets.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServiceRetryBudgets.java
@@ -12,42 +12,42 @@
 import org.masticweir.retry.RetryBudget;
 
 /**
- * The budget of second sends that all routers share, as this router goes by it; owned by the
+ * Retry budgets of the services, which all routers share, as applied by this router; owned by the
  * traffic thread.
  *
- * <p>Load that it answers: servers refuse or break, each refusal is sent again, and the repeats
- * make up the overload. The shared budget is a share of the requests and an allowance. The share of
- * what a router has received itself is its own; of the allowance it needs a permit for each repeat.
+ * <p>If servers refuse or fail and each refusal is retried, the retries sustain the overload. The
+ * shared budget is a share of the requests plus an allowance. A router may use the share of the
+ * requests that it has received itself; for the allowance it needs a permit for each retry.
  */
 public final class ServiceRetryBudgets implements RetryLimiter {
-    /** Part of the share that is used: windows of routers don't begin together. */
-    private static final double USED = 0.8;
+    /** Fraction of the share that is used, because the windows of routers don't start together. */
+    private static final double USED_FRACTION = 0.8;
 
     private static final TeamId ALL_TEAMS = TeamId.of("all");
 
     private final Map<ServiceName, RetryBudget> budgets = new HashMap<>();
-    private final Map<ServiceName, Long> closedUntilMs = new HashMap<>();
+    private final Map<ServiceName, Long> permitsSuspendedUntilMs = new HashMap<>();
     private double share;
     private Optional<SharedRate> allowance = Optional.empty();
 
     private ServiceRetryBudgets() {}
 
     /**
-     * Returns the budget of a router that has received nothing yet.
+     * Returns the budgets of a router that has received no requests yet.
      *
-     * @param share repeats allowed for a request, over all routers
-     * @param allowance repeats allowed beyond that in a window, over all routers
+     * @param share retries allowed per request, over all routers
+     * @param allowance additional retries allowed in a window, over all routers
      */
     public static ServiceRetryBudgets of(double share, double allowance) {
-        ServiceRetryBudgets repeats = new ServiceRetryBudgets();
-        repeats.update(share, allowance);
-        return repeats;
+        ServiceRetryBudgets retryBudgets = new ServiceRetryBudgets();
+        retryBudgets.update(share, allowance);
+        return retryBudgets;
     }
 
-    /** Takes another shared budget; with another share, what was sent is forgotten. */
+    /** Updates the shared budget; if the share changes, earlier sends are forgotten. */
     public void update(double sharedShare, double sharedAllowance) {
         checkArgument(sharedAllowance >= 0, "allowance %s", sharedAllowance);
-        double ownShare = sharedShare * USED;
+        double ownShare = sharedShare * USED_FRACTION;
         if (ownShare != share) {
             budgets.clear();
         }
@@ -58,42 +58,42 @@
                         : Optional.empty();
     }
 
-    /** Returns the rate of the permits for repeats; empty if there is no allowance. */
+    /** Returns the rate of retry permits; empty if there is no allowance. */
     public Optional<SharedRate> allowance() {
         return allowance;
     }
 
-    /** No permit for {@code service} is to be had before {@code untilMs}. */
+    /** Suspends the permits for {@code service}: none is available before {@code untilMs}. */
     public void suspendPermits(ServiceName service, long untilMs) {
-        closedUntilMs.put(service, untilMs);
+        permitsSuspendedUntilMs.put(service, untilMs);
     }
 
     @Override
     public void recordRequest(ServiceName service, long nowMs) {
-        budget(service).recordFirstSend(classOf(service), ALL_TEAMS, nowMs);
+        budget(service).recordFirstSend(workClassOf(service), ALL_TEAMS, nowMs);
     }
 
     @Override
     public boolean tryRetry(ServiceName service, long nowMs) {
-        return budget(service).tryRetry(classOf(service), ALL_TEAMS, nowMs);
+        return budget(service).tryRetry(workClassOf(service), ALL_TEAMS, nowMs);
     }
 
     @Override
     public boolean mayRequestPermit(ServiceName service, long nowMs) {
         return allowance.isPresent()
-                && nowMs >= closedUntilMs.getOrDefault(service, Long.MIN_VALUE);
+                && nowMs >= permitsSuspendedUntilMs.getOrDefault(service, Long.MIN_VALUE);
     }
 
     @Override
     public void cancelRetry(ServiceName service, long countedMs, long nowMs) {
-        budget(service).cancelRetry(classOf(service), ALL_TEAMS, countedMs, nowMs);
+        budget(service).cancelRetry(workClassOf(service), ALL_TEAMS, countedMs, nowMs);
     }
 
     private RetryBudget budget(ServiceName service) {
         return budgets.computeIfAbsent(service, s -> RetryBudget.create(share, 0));
     }
 
-    private static WorkClassId classOf(ServiceName service) {
+    private static WorkClassId workClassOf(ServiceName service) {
         return WorkClassId.of(service.value());
     }
 }
--- a/masticweir/src/main/java/org/masticweir/forward/SilenceTimer.java
+++ b/masticweir/src/main/java/org/masticweir/forward/SilenceTimer.java
@@ -4,107 +4,114 @@
 
 import org.masticweir.catalog.BackendServer;
 
-/** How long the server of one send has been silent, and may be; owned by the traffic thread. */
+/**
+ * Measures the silence of the server of one send against its timeout; owned by the traffic thread.
+ */
 public final class SilenceTimer {
-    /** Time between two looks at a server that has not begun, in ms: a third of a pause at most. */
-    static final long LOOK_MS = 250;
+    /**
+     * Time between two checks of a server that has not sent its first event, in ms: at most a third
+     * of the longest pause within the goal.
+     */
+    static final long CHECK_INTERVAL_MS = 250;
 
-    /** Age that an engine's report may have, in ms: a request sent since may be missing in it. */
-    static final long REPORT_AGE_MS = 600;
+    /** Maximum age of an engine's report, in ms: it may lack a request that was sent since. */
+    static final long MAX_REPORT_AGE_MS = 600;
 
     private final BackendServer server;
     private final boolean fromCopy;
     private final long gapGoalMs;
     private final LoadTracker loads;
-    private final SilenceTimeouts bounds;
+    private final SilenceTimeouts timeouts;
     private final long sentMs;
-    private final long tokensAhead;
-    private boolean begun;
-    private long lastMs;
-    private long allowedMs;
+    private final long prefillTokens;
+    private boolean hasStarted;
+    private long lastActivityMs;
+    private long timeoutMs;
 
     private SilenceTimer(
             Step.Send send,
-            RequestParameters plan,
+            RequestParameters request,
             LoadTracker loads,
-            SilenceTimeouts bounds,
+            SilenceTimeouts timeouts,
             long nowMs) {
         server = send.server();
         fromCopy = send.fromCopy();
-        gapGoalMs = plan.route().gapGoalMs();
+        gapGoalMs = request.route().gapGoalMs();
         this.loads = checkNotNull(loads, "loads");
-        this.bounds = checkNotNull(bounds, "bounds");
+        this.timeouts = checkNotNull(timeouts, "timeouts");
         sentMs = nowMs;
-        lastMs = nowMs;
-        tokensAhead = loads.totalLoad(server.incarnation()).prefillTokens();
-        allowedMs =
-                fromCopy ? nextEventMs() : bounds.firstEventMs(tokensAhead, plan.route().goalMs());
+        lastActivityMs = nowMs;
+        prefillTokens = loads.totalLoad(server.incarnation()).prefillTokens();
+        timeoutMs =
+                fromCopy
+                        ? nextEventTimeoutMs()
+                        : timeouts.firstEventTimeoutMs(prefillTokens, request.route().goalMs());
     }
 
-    /** Returns the silence of a send that leaves now and is on the board already. */
+    /** Returns the timer of a send that leaves now and is already counted in {@code loads}. */
     public static SilenceTimer of(
             Step.Send send,
-            RequestParameters plan,
+            RequestParameters request,
             LoadTracker loads,
-            SilenceTimeouts bounds,
+            SilenceTimeouts timeouts,
             long nowMs) {
-        return new SilenceTimer(send, plan, loads, bounds, nowMs);
+        return new SilenceTimer(send, request, loads, timeouts, nowMs);
     }
 
-    /** An event came; returns whether it was the first one. */
+    /** Records an event and returns whether it was the first one. */
     public boolean recordEvent(long nowMs) {
-        boolean first = !begun;
-        begun = true;
-        if (first && !fromCopy) {
-            bounds.observeRead(tokensAhead, nowMs - sentMs);
+        boolean isFirst = !hasStarted;
+        hasStarted = true;
+        if (isFirst && !fromCopy) {
+            timeouts.recordPrefill(prefillTokens, nowMs - sentMs);
         }
-        lastMs = nowMs;
-        allowedMs = nextEventMs();
-        return first;
+        lastActivityMs = nowMs;
+        timeoutMs = nextEventTimeoutMs();
+        return isFirst;
     }
 
     /**
-     * Takes an engine's word on a request that it has not begun in time.
+     * Handles an engine's report about a request that has not started in time.
      *
-     * @return whether it may still have the request, and gets the same time again
+     * @return whether the engine may still have the request and the timer runs again
      */
-    public boolean recordReport(EngineReport report, String request, long nowMs) {
-        lastMs = nowMs;
-        return nowMs - sentMs < REPORT_AGE_MS || report.mayHold(request);
+    public boolean recordReport(EngineReport report, String requestId, long nowMs) {
+        lastActivityMs = nowMs;
+        return nowMs - sentMs < MAX_REPORT_AGE_MS || report.mayHaveRequest(requestId);
     }
 
-    /** The server can't be asked now, and gets the same time again. */
+    /** Restarts the timer, because the engine can't be probed now. */
     public void restart(long nowMs) {
-        lastMs = nowMs;
+        lastActivityMs = nowMs;
     }
 
-    /** Returns when the server has been silent for too long. */
+    /** Returns when the silence reaches its timeout. */
     public long deadlineMs() {
-        return lastMs + allowedMs;
+        return lastActivityMs + timeoutMs;
     }
 
-    /** Returns when to look again. */
+    /** Returns when to check again. */
     public long nextCheckMs(long nowMs) {
-        return isLossCertain() ? deadlineMs() : Math.min(deadlineMs(), nowMs + LOOK_MS);
+        return isLossCertain() ? deadlineMs() : Math.min(deadlineMs(), nowMs + CHECK_INTERVAL_MS);
     }
 
     /**
-     * Returns whether the silence calls for a step now.
+     * Returns whether the silence needs an action now.
      *
-     * <p>Failure guarded against: a domain goes dark while an engine of it reads a prompt. Its
-     * streams show the loss within half a pause, while the reading one would be waited for for
-     * seconds. It is asked as soon as its server is passed over for new requests.
+     * <p>Covers a domain that stops responding while one of its engines is in a prefill. Its
+     * streams show the loss within half a pause, while the prefill would be awaited for seconds.
+     * The engine is therefore probed as soon as its server is excluded from new requests.
      */
     public boolean needsAction(ServerHealth health, long nowMs) {
         return nowMs >= deadlineMs() || (!isLossCertain() && health.isDown(server, nowMs));
     }
 
     /**
-     * Returns whether too long a silence shows that the server is lost. Before its first event it
-     * may only be reading; a copy leaves next to nothing to read.
+     * Returns whether a timeout means that the server is lost. Before its first event a server may
+     * just be in a prefill; resuming from a copy needs next to no prefill.
      */
     public boolean isLossCertain() {
-        return begun || fromCopy;
+        return hasStarted || fromCopy;
     }
 
     public BackendServer server() {
@@ -116,10 +123,11 @@
     }
 
     public long silentMs(long nowMs) {
-        return nowMs - lastMs;
+        return nowMs - lastActivityMs;
     }
 
-    private long nextEventMs() {
-        return bounds.nextEventMs(gapGoalMs, loads.totalLoad(server.incarnation()).prefills());
+    private long nextEventTimeoutMs() {
+        return timeouts.nextEventTimeoutMs(
+                gapGoalMs, loads.totalLoad(server.incarnation()).prefills());
     }
 }
--- a/masticweir/src/main/java/org/masticweir/retry/RetryPolicy.java
+++ b/masticweir/src/main/java/org/masticweir/retry/RetryPolicy.java
@@ -12,7 +12,7 @@
 import org.masticweir.retry.RetryDecision.Retry;
 
 /**
- * Decides whether a failed attempt is sent again.
+ * Decides whether a failed attempt is retried.
  *
  * <p>Thread-safe if the supplier gives each thread a generator of its own.
  */
@@ -20,7 +20,7 @@
     private static final int DEFAULT_MAX_SENDS = 3;
     private static final long FIRST_BACKOFF_MS = 10;
     private static final long MAX_BACKOFF_MS = 1_000;
-    private static final long MIN_RETURN_MS = 500;
+    private static final long MIN_RETRY_AFTER_MS = 500;
 
     private final RetryBudget budget;
     private final Supplier<? extends RandomGenerator> random;
@@ -39,49 +39,54 @@
         return create(budget, random, DEFAULT_MAX_SENDS);
     }
 
-    /** Returns a policy by which no request is sent more than {@code maxSends} times. */
+    /** Returns a policy that limits each request to {@code maxSends} sends. */
     public static RetryPolicy create(
             RetryBudget budget, Supplier<? extends RandomGenerator> random, int maxSends) {
         return new RetryPolicy(budget, random, maxSends);
     }
 
-    /** Returns what follows {@code failed}; a send again has been counted in the budget. */
+    /** Returns the decision on {@code failed}; a retry has been counted in the budget. */
     public RetryDecision decide(FailedAttempt failed, long nowMs) {
         checkNotNull(failed, "failed");
-        if (!maySendAgain(failed)) {
+        if (!isSafeToRetry(failed)) {
             return new GiveUp(failed.code(), failed.verdict(), OptionalLong.empty());
         }
-        if (nowMs >= failed.dueMs()) {
+        if (nowMs >= failed.deadlineMs()) {
             return giveUp(ErrorCode.DEADLINE_EXCEEDED, failed);
         }
-        long afterMs = delayMs(failed);
-        boolean inTime = nowMs + afterMs + failed.expectedMs() < failed.dueMs();
-        if (!inTime || failed.sends() >= maxSends) {
+        long delayMs = delayMs(failed);
+        boolean isInTime = nowMs + delayMs + failed.expectedMs() < failed.deadlineMs();
+        if (!isInTime || failed.sendCount() >= maxSends) {
             return giveUp(failed.code(), failed);
         }
         return budget.tryRetry(failed.workClass(), failed.team(), nowMs)
-                ? new Retry(afterMs)
+                ? new Retry(delayMs)
                 : giveUp(failed.code(), failed);
     }
 
     /**
-     * Failure guarded against: a non-idempotent request runs twice. It shows as an attempt whose
-     * answer was lost after the engine had it; only a verdict that none ran lets it be sent again.
+     * Prevents a non-idempotent request from running twice after its answer was lost: it is retried
+     * only if the verdict is that no send of it ran.
      */
-    private static boolean maySendAgain(FailedAttempt failed) {
+    private static boolean isSafeToRetry(FailedAttempt failed) {
         return failed.verdict() != Verdict.COMPLETED
-                && (failed.idempotent() || failed.verdict().safeToSendAgain());
+                && (failed.isIdempotent() || failed.verdict().safeToSendAgain());
     }
 
-    /** Another engine is tried soon; the same one not before the time that it gave. */
+    /**
+     * Returns the delay before a retry: short for another engine, and at least the time reported by
+     * the engine if it is the same one.
+     */
     private long delayMs(FailedAttempt failed) {
-        long bound = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS << (failed.sends() - 1));
+        long bound = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS << (failed.sendCount() - 1));
         long jitter = random.get().nextLong(bound + 1);
-        return failed.otherEngine() ? jitter : failed.engineRetryAfterMs().orElse(bound) + jitter;
+        return failed.hasOtherEngine()
+                ? jitter
+                : failed.engineRetryAfterMs().orElse(bound) + jitter;
     }
 
     private GiveUp giveUp(ErrorCode code, FailedAttempt failed) {
-        long base = Math.max(MIN_RETURN_MS, failed.engineRetryAfterMs().orElse(0));
+        long base = Math.max(MIN_RETRY_AFTER_MS, failed.engineRetryAfterMs().orElse(0));
         long jitter = random.get().nextLong(base);
         return new GiveUp(code, failed.verdict(), OptionalLong.of(base + jitter));
     }
--- a/masticweir/src/test/java/org/masticweir/forward/ServerNoticesTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerNoticesTest.java
@@ -10,53 +10,53 @@
 import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.id.EngineId;
 
-/** What servers have asked of a router. */
+/** Tests the notices of servers. */
 class ServerNoticesTest {
     private static final ServerIncarnation FIRST = ServerIncarnation.of(EngineId.of("i-1"), 1_000);
     private static final ServerIncarnation SECOND = ServerIncarnation.of(EngineId.of("i-1"), 2_000);
 
     private final ServerNotices notices = ServerNotices.create();
 
-    /** A server leaves. */
+    /** A server announces that it is leaving. */
     @Nested
     class Leaving {
         @Test
-        void isNewOnce() {
+        void isReportedAsNewOnce() {
             assertTrue(notices.recordLeaving(FIRST, 0));
             assertFalse(notices.recordLeaving(FIRST, 0));
             assertTrue(notices.isLeaving(FIRST));
         }
 
         @Test
-        void holdsForOneLife() {
+        void appliesToOneIncarnation() {
             notices.recordLeaving(FIRST, 0);
             assertFalse(notices.isLeaving(SECOND));
         }
 
-        /** Its entry lapses while the store is away, and comes back as it was. */
+        /** The entry of a server may lapse while the store is unavailable, and return unchanged. */
         @Test
-        void outlastsALapseOfItsEntry() {
+        void survivesLapseOfEntry() {
             notices.recordLeaving(FIRST, 0);
             notices.updateListed(Set.of(FIRST), 5_000);
-            notices.updateListed(Set.of(), 5_000 + ServerNotices.ABSENT_MS);
+            notices.updateListed(Set.of(), 5_000 + ServerNotices.MAX_ABSENCE_MS);
             assertTrue(notices.isLeaving(FIRST));
-            notices.updateListed(Set.of(FIRST), 6_000 + ServerNotices.ABSENT_MS);
+            notices.updateListed(Set.of(FIRST), 6_000 + ServerNotices.MAX_ABSENCE_MS);
             assertTrue(notices.isLeaving(FIRST));
         }
 
         @Test
-        void isForgottenOnceTheListHasLackedItForLong() {
+        void isForgottenAfterMaxAbsence() {
             notices.recordLeaving(FIRST, 0);
-            notices.updateListed(Set.of(), ServerNotices.ABSENT_MS + 1);
+            notices.updateListed(Set.of(), ServerNotices.MAX_ABSENCE_MS + 1);
             assertFalse(notices.isLeaving(FIRST));
         }
     }
 
-    /** A server wants no requests for a while. */
+    /** A server announces a pause. */
     @Nested
     class Pause {
         @Test
-        void endsWithItsTime() {
+        void expires() {
             assertTrue(notices.recordPause(FIRST, 3_000, 100));
             assertEquals(3_000, notices.remainingPauseMs(FIRST, 100));
             assertEquals(1, notices.remainingPauseMs(FIRST, 3_099));
@@ -71,14 +71,14 @@
         }
 
         @Test
-        void isProlongedByAnotherAnswer() {
+        void isExtendedByAnotherAnswer() {
             notices.recordPause(FIRST, 3_000, 0);
             assertFalse(notices.recordPause(FIRST, 3_000, 400));
             assertEquals(3_000, notices.remainingPauseMs(FIRST, 400));
         }
 
         @Test
-        void mayBeginAgain() {
+        void mayStartAgain() {
             notices.recordPause(FIRST, 3_000, 0);
             assertTrue(notices.recordPause(FIRST, 3_000, 3_000));
         }
@@ -90,7 +90,7 @@
         }
 
         @Test
-        void holdsForOneLife() {
+        void appliesToOneIncarnation() {
             notices.recordPause(FIRST, 3_000, 0);
             assertEquals(0, notices.remainingPauseMs(SECOND, 0));
         }
