--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
@@ -33,7 +33,7 @@
  */
 public final class AdmissionController {
     /** One team may hold one in so many of the queue's places. */
-    private static final int TEAM_PART = 4;
+    private static final int TEAM_QUEUE_DIVISOR = 4;
 
     /**
      * Places beyond the bound for teams with nothing queued, so that others can't shut them out.
@@ -46,68 +46,68 @@
     private static final int MAX_MODELS = 256;
 
     private final CapacitySource capacity;
-    private final TeamWeights teams;
-    private final ToIntFunction<ModelId> recoveriesWaiting;
+    private final TeamWeights teamWeights;
+    private final ToIntFunction<ModelId> waitingRecoveries;
     private final RandomGenerator random;
-    private final LimitSettings tuning;
-    private final Map<ModelVersion, ModelQueue> queues = new HashMap<>();
+    private final LimitSettings settings;
+    private final Map<ModelKey, ModelQueue> queues = new HashMap<>();
     private final Map<RequestId, AdmissionRequest> queued = new HashMap<>();
     private final Map<RequestId, Running> running = new HashMap<>();
 
     private AdmissionController(
             CapacitySource capacity,
-            TeamWeights teams,
-            ToIntFunction<ModelId> recoveriesWaiting,
+            TeamWeights teamWeights,
+            ToIntFunction<ModelId> waitingRecoveries,
             RandomGenerator random,
-            LimitSettings tuning) {
+            LimitSettings settings) {
         this.capacity = checkNotNull(capacity, "capacity");
-        this.teams = checkNotNull(teams, "teams");
-        this.recoveriesWaiting = checkNotNull(recoveriesWaiting, "recoveriesWaiting");
+        this.teamWeights = checkNotNull(teamWeights, "teamWeights");
+        this.waitingRecoveries = checkNotNull(waitingRecoveries, "waitingRecoveries");
         this.random = checkNotNull(random, "random");
-        this.tuning = checkNotNull(tuning, "tuning");
+        this.settings = checkNotNull(settings, "settings");
     }
 
     /**
      * Returns an admission that has let nothing in yet.
      *
-     * @param teams how teams are to be served, for example {@link TeamShares}
-     * @param recoveriesWaiting recoveries of a model that go ahead of new work, for example {@link
+     * @param teamWeights how teams are to be served, for example {@link TeamShares}
+     * @param waitingRecoveries recoveries of a model that go ahead of new work, for example {@link
      *     RecoveryAdmissionController#waitingCount}
      */
     public static AdmissionController create(
             CapacitySource capacity,
-            TeamWeights teams,
-            ToIntFunction<ModelId> recoveriesWaiting,
+            TeamWeights teamWeights,
+            ToIntFunction<ModelId> waitingRecoveries,
             RandomGenerator random,
-            LimitSettings tuning) {
-        return new AdmissionController(capacity, teams, recoveriesWaiting, random, tuning);
+            LimitSettings settings) {
+        return new AdmissionController(capacity, teamWeights, waitingRecoveries, random, settings);
     }
 
     /** Returns an admission with the default tuning. */
     public static AdmissionController create(
             CapacitySource capacity,
-            TeamWeights teams,
-            ToIntFunction<ModelId> recoveriesWaiting,
+            TeamWeights teamWeights,
+            ToIntFunction<ModelId> waitingRecoveries,
             RandomGenerator random) {
-        return create(capacity, teams, recoveriesWaiting, random, LimitSettings.defaults());
+        return create(capacity, teamWeights, waitingRecoveries, random, LimitSettings.defaults());
     }
 
     /** Decides on {@code r}; a request offered before and not finished is an error. */
     public synchronized AdmissionDecision offer(AdmissionRequest r, long nowMs) {
         checkNotNull(r, "r");
-        checkArgument(!knows(r.id()), "request %s offered twice", r.id());
+        checkArgument(!isTracked(r.id()), "request %s offered twice", r.id());
         Capacity c = capacity.capacityOf(r.model(), r.version(), nowMs);
         ModelQueue queue = queue(r);
-        queue.see(r, c, nowMs);
-        boolean now = queue.goesAhead(r, c, reserved(r));
+        queue.recordArrival(r, c, nowMs);
+        boolean admitNow = queue.canAdmitNow(r, c, reservedSlots(r));
         Prediction p = queue.predict(r, c, nowMs);
-        boolean late = now ? queue.tooLate(r, c, nowMs) : !p.meetsTargets(r, nowMs);
-        Optional<ErrorCode> refusal = refusal(r, late, c, queue);
+        boolean isLate = admitNow ? queue.isTooLate(r, c, nowMs) : !p.meetsTargets(r, nowMs);
+        Optional<ErrorCode> refusal = findRefusal(r, isLate, c, queue);
         if (refusal.isPresent()) {
             return refuse(r, refusal.get(), p, c, queue, nowMs);
         }
-        if (now) {
-            queue.passed(r, c);
+        if (admitNow) {
+            queue.chargeUnqueued(r, c);
             return admit(r, queue, nowMs);
         }
         queue.add(r, nowMs);
@@ -118,9 +118,9 @@
     /** Counts an admitted request as sent, once the capacity source counts it too. */
     public synchronized void recordSend(RequestId id) {
         Running run = running.get(checkNotNull(id, "id"));
-        if (run != null && !run.sent) {
-            run.sent = true;
-            queue(run.request).load().sent();
+        if (run != null && !run.isSent) {
+            run.isSent = true;
+            queue(run.request).load().markSent();
         }
     }
 
@@ -132,7 +132,7 @@
         }
         Running run = running.remove(id);
         if (run != null) {
-            queue(run.request).finished(run.request, run.sent, nowMs - run.admittedAtMs);
+            queue(run.request).markFinished(run.request, run.isSent, nowMs - run.admittedAtMs);
         }
     }
 
@@ -140,7 +140,8 @@
     public synchronized ImmutableList<AdmissionDecision> tick(long nowMs) {
         ImmutableList.Builder<AdmissionDecision> decisions = ImmutableList.builder();
         queues.forEach((key, queue) -> tick(key, queue, nowMs, decisions));
-        queues.values().removeIf(q -> q.size() == 0 && q.load().running() == 0 && tooMany());
+        queues.values()
+                .removeIf(q -> q.size() == 0 && q.load().running() == 0 && hasTooManyQueues());
         return decisions.build();
     }
 
@@ -150,7 +151,7 @@
     }
 
     private void tick(
-            ModelVersion key,
+            ModelKey key,
             ModelQueue queue,
             long nowMs,
             ImmutableList.Builder<AdmissionDecision> decisions) {
@@ -158,12 +159,12 @@
             return;
         }
         Capacity c = capacity.capacityOf(key.model(), key.version(), nowMs);
-        int reserved = recoveriesWaiting.applyAsInt(key.model());
+        int reserved = waitingRecoveries.applyAsInt(key.model());
         List<AdmissionRequest> late = new ArrayList<>();
         Optional<AdmissionRequest> next = queue.next(c, reserved);
         while (next.isPresent()) {
             AdmissionRequest r = next.get();
-            if (queue.tooLate(r, c, nowMs)) {
+            if (queue.isTooLate(r, c, nowMs)) {
                 queue.remove(r);
                 late.add(r);
             } else {
@@ -173,36 +174,37 @@
             }
             next = queue.next(c, reserved);
         }
-        queue.dropLate(c, nowMs, late);
+        queue.removeLate(c, nowMs, late);
         for (AdmissionRequest r : late) {
             queued.remove(r.id());
             Prediction p = queue.predict(r, c, nowMs);
-            decisions.add(refuse(r, lateCode(c), p, c, queue, nowMs));
+            decisions.add(refuse(r, lateErrorCode(c), p, c, queue, nowMs));
         }
     }
 
-    private Optional<ErrorCode> refusal(
-            AdmissionRequest r, boolean late, Capacity c, ModelQueue queue) {
-        if (c.engines() == 0 || (tuning.predictedRefusal() && late)) {
-            return Optional.of(lateCode(c));
+    private Optional<ErrorCode> findRefusal(
+            AdmissionRequest r, boolean isLate, Capacity c, ModelQueue queue) {
+        if (c.engines() == 0 || (settings.predictedRefusal() && isLate)) {
+            return Optional.of(lateErrorCode(c));
         }
-        int max = tuning.maxQueued();
-        if (tuning.fairShares() && queue.size(r.team()) >= Math.max(1, max / TEAM_PART)) {
+        int max = settings.maxQueued();
+        if (settings.fairShares()
+                && queue.size(r.team()) >= Math.max(1, max / TEAM_QUEUE_DIVISOR)) {
             return Optional.of(ErrorCode.OVER_LIMIT);
         }
-        boolean idle = tuning.fairShares() && queue.size(r.team()) == 0;
-        int limit = idle ? max + RESERVED_FOR_IDLE_TEAMS : max;
-        boolean full = queued.size() >= limit || running.size() >= MAX_RUNNING;
-        return full ? Optional.of(ErrorCode.OVERLOADED) : Optional.empty();
+        boolean isIdle = settings.fairShares() && queue.size(r.team()) == 0;
+        int limit = isIdle ? max + RESERVED_FOR_IDLE_TEAMS : max;
+        boolean isFull = queued.size() >= limit || running.size() >= MAX_RUNNING;
+        return isFull ? Optional.of(ErrorCode.OVERLOADED) : Optional.empty();
     }
 
-    private static ErrorCode lateCode(Capacity c) {
+    private static ErrorCode lateErrorCode(Capacity c) {
         return c.engines() == 0 ? ErrorCode.NO_ENGINE : ErrorCode.OVERLOADED;
     }
 
     private Admitted admit(AdmissionRequest r, ModelQueue queue, long nowMs) {
         running.put(r.id(), new Running(r, nowMs));
-        queue.load().admitted();
+        queue.load().markAdmitted();
         return new Admitted(r.id());
     }
 
@@ -213,33 +215,33 @@
             Capacity c,
             ModelQueue queue,
             long nowMs) {
-        double interval = queue.load().hold().meanMs(c.holdMs()) / c.fairShareSlots();
-        return new Refused(r.id(), code, queue.returns().book(p.waitMs(), interval, nowMs));
+        double interval = queue.load().holdTime().meanMs(c.holdMs()) / c.fairShareSlots();
+        return new Refused(r.id(), code, queue.retries().reserve(p.waitMs(), interval, nowMs));
     }
 
-    private boolean knows(RequestId id) {
+    private boolean isTracked(RequestId id) {
         return queued.containsKey(id) || running.containsKey(id);
     }
 
-    private boolean tooMany() {
+    private boolean hasTooManyQueues() {
         return queues.size() > MAX_MODELS;
     }
 
-    private int reserved(AdmissionRequest r) {
-        return recoveriesWaiting.applyAsInt(r.model());
+    private int reservedSlots(AdmissionRequest r) {
+        return waitingRecoveries.applyAsInt(r.model());
     }
 
     private ModelQueue queue(AdmissionRequest r) {
         return queues.computeIfAbsent(
-                new ModelVersion(r.model(), r.version()),
-                k -> new ModelQueue(teams, new ReturnSchedule(random), tuning));
+                new ModelKey(r.model(), r.version()),
+                k -> new ModelQueue(teamWeights, new RetrySchedule(random), settings));
     }
 
     /** A request that was let in. */
     private static final class Running {
         private final AdmissionRequest request;
         private final long admittedAtMs;
-        private boolean sent;
+        private boolean isSent;
 
         Running(AdmissionRequest request, long admittedAtMs) {
             this.request = request;
--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionRequest.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionRequest.java
@@ -44,7 +44,7 @@
     }
 
     /** Returns what the request may cost, in tokens read and written. */
-    int tokens() {
+    int maxTotalTokens() {
         return promptTokens + maxTokens;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/limits/Capacity.java
+++ b/masticweir/src/main/java/org/masticweir/limits/Capacity.java
@@ -24,9 +24,9 @@
     /** Time and spacing for refused callers to come back when no engine serves, in ms. */
     private static final double NO_ENGINE_HOLD_MS = 1_000;
 
-    private static final double NO_ENGINE_PLACES = 50;
+    private static final double NO_ENGINE_SLOTS = 50;
     private static final Capacity NONE =
-            new Capacity(0, 0, 0, NO_ENGINE_PLACES, NO_ENGINE_HOLD_MS, 1, 0);
+            new Capacity(0, 0, 0, NO_ENGINE_SLOTS, NO_ENGINE_HOLD_MS, 1, 0);
 
     public Capacity {
         checkArgument(engines >= 0, "%s engines", engines);
--- a/masticweir/src/main/java/org/masticweir/limits/ClassQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ClassQueue.java
@@ -17,89 +17,89 @@
  * A team that was idle starts level with those served now, so it can't save up a claim.
  */
 final class ClassQueue {
-    private static final int MAX_IDLE = 512;
+    private static final int MAX_IDLE_TEAMS = 512;
 
     /** Stands for every team where they share one queue. */
-    private static final TeamId ALL = TeamId.of("all");
+    private static final TeamId ALL_TEAMS = TeamId.of("all");
 
     private final ToDoubleFunction<TeamId> weight;
-    private final LimitSettings tuning;
+    private final LimitSettings settings;
     private final Map<TeamId, TeamQueue> teams = new LinkedHashMap<>();
 
     /** Where teams without requests stand, as long as that is ahead of the clock. */
-    private final Map<TeamId, Double> idle = new LinkedHashMap<>();
+    private final Map<TeamId, Double> idleVirtualTimes = new LinkedHashMap<>();
 
-    private final TurnTime turn = new TurnTime();
-    private final HoldTime hold = new HoldTime();
-    private double clock;
-    private double served;
+    private final HeadWaitEstimate headWait = new HeadWaitEstimate();
+    private final HoldTimeEstimate holdTime = new HoldTimeEstimate();
+    private double virtualTime;
+    private double servedSlotMs;
     private int size;
-    private int firstInTurn;
+    private int rotationStart;
 
-    ClassQueue(ToDoubleFunction<TeamId> weight, LimitSettings tuning) {
-        this.weight = tuning.fairShares() ? weight : team -> 1;
-        this.tuning = tuning;
+    ClassQueue(ToDoubleFunction<TeamId> weight, LimitSettings settings) {
+        this.weight = settings.fairShares() ? weight : team -> 1;
+        this.settings = settings;
     }
 
     void add(AdmissionRequest r, long nowMs) {
         if (size == 0) {
-            turn.began(nowMs);
+            headWait.startWait(nowMs);
         }
-        teams.computeIfAbsent(key(r.team()), this::newTeam).add(r);
+        teams.computeIfAbsent(queueKey(r.team()), this::newTeam).add(r);
         size++;
     }
 
     boolean remove(AdmissionRequest r) {
-        TeamQueue team = teams.get(key(r.team()));
+        TeamQueue team = teams.get(queueKey(r.team()));
         if (team == null || !team.remove(r)) {
             return false;
         }
         size--;
         if (team.isEmpty()) {
-            teams.remove(key(r.team()));
-            remember(key(r.team()), team.servedPerWeight());
+            teams.remove(queueKey(r.team()));
+            storeIdleTeam(queueKey(r.team()), team.servedPerWeight());
         }
         return true;
     }
 
     /** Returns the request to be served next of those that {@code admissible} lets in, if any. */
-    Optional<AdmissionRequest> next(Predicate<AdmissionRequest> admissible) {
+    Optional<AdmissionRequest> next(Predicate<AdmissionRequest> isAdmissible) {
         return teams.values().stream()
-                .filter(t -> admissible.test(t.first()))
+                .filter(t -> isAdmissible.test(t.first()))
                 .min(comparingDouble(TeamQueue::servedPerWeight))
                 .map(TeamQueue::first);
     }
 
     /** Takes {@code r} out and charges its team. */
     void serve(AdmissionRequest r, long nowMs) {
-        TeamQueue team = teams.get(key(r.team()));
-        clock = Math.max(clock, team.servedPerWeight());
-        team.charge(r.tokens() / weight.applyAsDouble(r.team()));
+        TeamQueue team = teams.get(queueKey(r.team()));
+        virtualTime = Math.max(virtualTime, team.servedPerWeight());
+        team.charge(r.maxTotalTokens() / weight.applyAsDouble(r.team()));
         remove(r);
-        turn.served(nowMs);
+        headWait.recordServed(nowMs);
     }
 
     /** Returns the place time served to this class, on the clock of all classes. */
-    double served() {
-        return served;
+    double servedSlotMs() {
+        return servedSlotMs;
     }
 
-    void charge(double placeMs) {
-        served += placeMs;
+    void charge(double slotMs) {
+        servedSlotMs += slotMs;
     }
 
     /** Takes the class no further back than {@code level}, as it has been idle. */
-    void raise(double level) {
-        served = Math.max(served, level);
+    void advanceTo(double level) {
+        servedSlotMs = Math.max(servedSlotMs, level);
     }
 
-    HoldTime hold() {
-        return hold;
+    HoldTimeEstimate holdTime() {
+        return holdTime;
     }
 
     /** Returns how long the first request waits for its turn. */
-    double turnMs(double estimateMs, long nowMs) {
-        return turn.ms(estimateMs, size > 0, nowMs);
+    double headWaitMs(double estimateMs, long nowMs) {
+        return headWait.expectedMs(estimateMs, size > 0, nowMs);
     }
 
     /**
@@ -109,27 +109,27 @@
      * large team's as their weights tell, and is refused, though it would be next. What counts is
      * where each team stands.
      */
-    double ahead(AdmissionRequest r, int own) {
-        double perRequest = r.tokens() / weight.applyAsDouble(r.team());
-        double turn = level(key(r.team())) + own * perRequest;
-        double ahead = own;
+    double requestsAhead(AdmissionRequest r, int ownAhead) {
+        double perRequest = r.maxTotalTokens() / weight.applyAsDouble(r.team());
+        double startTime = virtualTimeOf(queueKey(r.team())) + ownAhead * perRequest;
+        double ahead = ownAhead;
         for (Map.Entry<TeamId, TeamQueue> e : teams.entrySet()) {
-            double lead = turn - e.getValue().servedPerWeight();
-            if (!e.getKey().equals(key(r.team())) && lead >= 0) {
-                int tokens = e.getValue().first().tokens();
-                double turns = lead * weight.applyAsDouble(e.getKey()) / tokens + 1;
-                ahead += Math.min(e.getValue().size(), turns);
+            double lead = startTime - e.getValue().servedPerWeight();
+            if (!e.getKey().equals(queueKey(r.team())) && lead >= 0) {
+                int tokens = e.getValue().first().maxTotalTokens();
+                double served = lead * weight.applyAsDouble(e.getKey()) / tokens + 1;
+                ahead += Math.min(e.getValue().size(), served);
             }
         }
         return ahead;
     }
 
     /** Returns where {@code team} stands, or would if it queued now. */
-    private double level(TeamId team) {
+    private double virtualTimeOf(TeamId team) {
         TeamQueue queue = teams.get(team);
         return queue != null
                 ? queue.servedPerWeight()
-                : Math.max(clock, idle.getOrDefault(team, clock));
+                : Math.max(virtualTime, idleVirtualTimes.getOrDefault(team, virtualTime));
     }
 
     int size() {
@@ -137,7 +137,7 @@
     }
 
     int size(TeamId team) {
-        TeamQueue q = teams.get(key(team));
+        TeamQueue q = teams.get(queueKey(team));
         return q == null ? 0 : q.size();
     }
 
@@ -146,15 +146,15 @@
     }
 
     /** Returns up to {@code most} teams with requests; all of them come up in turn. */
-    ImmutableList<TeamId> teamsInTurn(int most) {
+    ImmutableList<TeamId> nextTeams(int max) {
         ImmutableList<TeamId> all = waitingTeams();
-        if (all.size() <= most) {
+        if (all.size() <= max) {
             return all;
         }
-        firstInTurn = (firstInTurn + most) % all.size();
-        int wrapped = Math.max(0, firstInTurn + most - all.size());
+        rotationStart = (rotationStart + max) % all.size();
+        int wrapped = Math.max(0, rotationStart + max - all.size());
         return ImmutableList.<TeamId>builder()
-                .addAll(all.subList(firstInTurn, firstInTurn + most - wrapped))
+                .addAll(all.subList(rotationStart, rotationStart + max - wrapped))
                 .addAll(all.subList(0, wrapped))
                 .build();
     }
@@ -163,24 +163,24 @@
         return teams.get(team);
     }
 
-    private TeamId key(TeamId team) {
-        return tuning.fairShares() ? team : ALL;
+    private TeamId queueKey(TeamId team) {
+        return settings.fairShares() ? team : ALL_TEAMS;
     }
 
     private TeamQueue newTeam(TeamId team) {
-        double level = level(team);
-        idle.remove(team);
-        return new TeamQueue(level, tuning.classShares());
+        double level = virtualTimeOf(team);
+        idleVirtualTimes.remove(team);
+        return new TeamQueue(level, settings.classShares());
     }
 
     /**
      * Failure guarded against: a team that queues one request at a time would start level each time
      * and never pay for the one before.
      */
-    private void remember(TeamId team, double servedPerWeight) {
-        idle.values().removeIf(stood -> stood <= clock);
-        if (servedPerWeight > clock && idle.size() < MAX_IDLE) {
-            idle.put(team, servedPerWeight);
+    private void storeIdleTeam(TeamId team, double servedPerWeight) {
+        idleVirtualTimes.values().removeIf(t -> t <= virtualTime);
+        if (servedPerWeight > virtualTime && idleVirtualTimes.size() < MAX_IDLE_TEAMS) {
+            idleVirtualTimes.put(team, servedPerWeight);
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/limits/PromptClasses.java
+++ b/masticweir/src/main/java/org/masticweir/limits/LatencySensitiveClasses.java
@@ -15,33 +15,33 @@
  * lower priority number first as soon as any of their places is free; a router learns that only
  * with the next report.
  */
-final class PromptClasses {
+final class LatencySensitiveClasses {
     /** Part of the time that a place stays taken below which requests are short. */
-    private static final double SHORT_HOLD = 0.25;
+    private static final double MAX_HOLD_RATIO = 0.25;
 
     /** Part of that time below which a target is short. */
-    private static final double SHORT_TARGET = 0.5;
+    private static final double MAX_TARGET_RATIO = 0.5;
 
     /** Headroom is kept for so long after a prompt class was seen last. */
-    private static final long MEMORY_MS = 10_000;
+    private static final long HEADROOM_RETENTION_MS = 10_000;
 
     private final ModelLoad load;
-    private final LimitSettings tuning;
-    private long seenAtMs;
-    private boolean active;
+    private final LimitSettings settings;
+    private long lastArrivalMs;
+    private boolean isActive;
 
-    PromptClasses(ModelLoad load, LimitSettings tuning) {
+    LatencySensitiveClasses(ModelLoad load, LimitSettings settings) {
         this.load = load;
-        this.tuning = tuning;
+        this.settings = settings;
     }
 
     /** Takes note of an arrival of the class of {@code q}. */
-    void see(AdmissionRequest r, ClassQueue q, Capacity capacity, long nowMs) {
-        if (isPrompt(r, q, capacity)) {
-            seenAtMs = nowMs;
-            active = true;
-        } else if (nowMs - seenAtMs >= MEMORY_MS) {
-            active = false;
+    void recordArrival(AdmissionRequest r, ClassQueue q, Capacity capacity, long nowMs) {
+        if (isLatencySensitive(r, q, capacity)) {
+            lastArrivalMs = nowMs;
+            isActive = true;
+        } else if (nowMs - lastArrivalMs >= HEADROOM_RETENTION_MS) {
+            isActive = false;
         }
     }
 
@@ -52,19 +52,22 @@
      * run. The next place is a small team's, yet there is none for a good part of its target, and
      * it is refused. Longer work of a team over its share therefore leaves headroom too.
      */
-    double extraPlaces(AdmissionRequest r, ClassQueue q, Capacity capacity, boolean teamOverShare) {
-        if (isPrompt(r, q, capacity)) {
-            return Math.floor(tuning.overcommit() * capacity.reachableSlots());
+    double extraSlots(
+            AdmissionRequest r, ClassQueue q, Capacity capacity, boolean isTeamOverShare) {
+        if (isLatencySensitive(r, q, capacity)) {
+            return Math.floor(settings.overcommitShare() * capacity.reachableSlots());
         }
         double share =
-                Math.max(active ? tuning.headroom() : 0, teamOverShare ? tuning.teamHeadroom() : 0);
+                Math.max(
+                        isActive ? settings.headroomShare() : 0,
+                        isTeamOverShare ? settings.teamHeadroomShare() : 0);
         return -Math.floor(share * capacity.reachableSlots());
     }
 
-    private boolean isPrompt(AdmissionRequest r, ClassQueue q, Capacity capacity) {
-        double placeMs = load.hold().ofPlaceMs(capacity.holdMs());
-        double ownMs = q.hold().meanMs(r.maxTokens() * capacity.stepMs());
-        return r.workClass().firstTokenMs() < SHORT_TARGET * placeMs
-                && ownMs < SHORT_HOLD * placeMs;
+    private boolean isLatencySensitive(AdmissionRequest r, ClassQueue q, Capacity capacity) {
+        double occupiedMs = load.holdTime().lengthBiasedMeanMs(capacity.holdMs());
+        double classHoldMs = q.holdTime().meanMs(r.maxTokens() * capacity.stepMs());
+        return r.workClass().firstTokenMs() < MAX_TARGET_RATIO * occupiedMs
+                && classHoldMs < MAX_HOLD_RATIO * occupiedMs;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/limits/LimitSettings.java
+++ b/masticweir/src/main/java/org/masticweir/limits/LimitSettings.java
@@ -57,22 +57,22 @@
     }
 
     /** Returns the share of the places that only prompt classes may fill. */
-    double headroom() {
+    double headroomShare() {
         return classShares() ? settings.headroomPercent() / PERCENT : 0;
     }
 
     /** Returns the share of the places that teams over their share leave to others. */
-    double teamHeadroom() {
+    double teamHeadroomShare() {
         return fairShares() ? settings.headroomPercent() / PERCENT : 0;
     }
 
     /** Returns what prompt classes may send beyond all places, as a share of them. */
-    double overcommit() {
+    double overcommitShare() {
         return classShares() ? settings.overcommitPercent() / PERCENT : 0;
     }
 
     /** Returns how many times its even part of the free places a router may fill. */
-    double burst() {
+    double burstFactor() {
         return settings.burstPercent() / PERCENT;
     }
 
--- a/masticweir/src/main/java/org/masticweir/limits/ModelVersion.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelKey.java
@@ -5,8 +5,8 @@
 import org.masticweir.id.ModelId;
 
 /** What decides which engines can serve a request; immutable. */
-record ModelVersion(ModelId model, String version) {
-    ModelVersion {
+record ModelKey(ModelId model, String version) {
+    ModelKey {
         checkNotNull(model, "model");
         checkNotNull(version, "version");
     }
--- a/masticweir/src/main/java/org/masticweir/limits/ModelLoad.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelLoad.java
@@ -4,21 +4,21 @@
 final class ModelLoad {
     private int running;
     private int notYetSent;
-    private final HoldTime hold = new HoldTime();
+    private final HoldTimeEstimate holdTime = new HoldTimeEstimate();
 
-    void admitted() {
+    void markAdmitted() {
         running++;
         notYetSent++;
     }
 
-    void sent() {
+    void markSent() {
         notYetSent--;
     }
 
-    void finished(boolean wasSent, long heldMs) {
+    void markFinished(boolean wasSent, long heldMs) {
         running--;
         if (wasSent) {
-            hold.saw(heldMs);
+            holdTime.add(heldMs);
         } else {
             notYetSent--;
         }
@@ -34,7 +34,7 @@
     }
 
     /** Returns how long requests kept their places. */
-    HoldTime hold() {
-        return hold;
+    HoldTimeEstimate holdTime() {
+        return holdTime;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
@@ -23,29 +23,29 @@
  */
 final class ModelQueue {
     /** Stands for every class where they share one queue. */
-    private static final WorkClassId ALL = WorkClassId.of("all");
+    private static final WorkClassId ALL_CLASSES = WorkClassId.of("all");
 
     /** Part of the turn under way that is still to come, on average. */
-    private static final double TURN_LEFT = 0.5;
+    private static final double REMAINING_WAIT_SHARE = 0.5;
 
     /** Teams of a class that one tick predicts for. */
-    private static final int PREDICTED_IN_ONE_TICK = 64;
+    private static final int MAX_PREDICTED_TEAMS_PER_TICK = 64;
 
-    private final TeamWeights teams;
+    private final TeamWeights teamWeights;
     private final Map<WorkClassId, ClassQueue> classes = new LinkedHashMap<>();
     private final ModelLoad load = new ModelLoad();
-    private final ReturnSchedule returns;
-    private final LimitSettings tuning;
-    private final PromptClasses prompt;
+    private final RetrySchedule retries;
+    private final LimitSettings settings;
+    private final LatencySensitiveClasses latencySensitive;
 
     /** Where the class served last stood before. */
-    private double clock;
+    private double virtualTime;
 
-    ModelQueue(TeamWeights teams, ReturnSchedule returns, LimitSettings tuning) {
-        this.teams = teams;
-        this.returns = returns;
-        this.tuning = tuning;
-        prompt = new PromptClasses(load, tuning);
+    ModelQueue(TeamWeights teamWeights, RetrySchedule retries, LimitSettings settings) {
+        this.teamWeights = teamWeights;
+        this.retries = retries;
+        this.settings = settings;
+        latencySensitive = new LatencySensitiveClasses(load, settings);
     }
 
     ModelLoad load() {
@@ -53,26 +53,26 @@
     }
 
     /** Takes note that {@code r} has ended, which was let in {@code heldMs} ago. */
-    void finished(AdmissionRequest r, boolean wasSent, long heldMs) {
-        load.finished(wasSent, heldMs);
+    void markFinished(AdmissionRequest r, boolean wasSent, long heldMs) {
+        load.markFinished(wasSent, heldMs);
         if (wasSent) {
-            queue(r).hold().saw(heldMs);
+            queue(r).holdTime().add(heldMs);
         }
     }
 
-    ReturnSchedule returns() {
-        return returns;
+    RetrySchedule retries() {
+        return retries;
     }
 
     /** Takes note of an arrival, so that others leave its class room if it needs that. */
-    void see(AdmissionRequest r, Capacity capacity, long nowMs) {
-        prompt.see(r, queue(r), capacity, nowMs);
+    void recordArrival(AdmissionRequest r, Capacity capacity, long nowMs) {
+        latencySensitive.recordArrival(r, queue(r), capacity, nowMs);
     }
 
     void add(AdmissionRequest r, long nowMs) {
         ClassQueue q = queue(r);
         if (q.size() == 0) {
-            q.raise(clock);
+            q.advanceTo(virtualTime);
         }
         q.add(r, nowMs);
     }
@@ -90,31 +90,31 @@
     }
 
     /** Tells whether {@code r} may be let in past all that waits. */
-    boolean goesAhead(AdmissionRequest r, Capacity capacity, int reserved) {
+    boolean canAdmitNow(AdmissionRequest r, Capacity capacity, int reserved) {
         ClassQueue own = queue(r);
-        double level = Math.max(clock, own.served());
+        double startTime = Math.max(virtualTime, own.servedSlotMs());
         int ahead =
                 classes.values().stream()
-                        .filter(q -> q == own || q.served() <= level)
-                        .filter(q -> q.next(x -> hasPlace(x, capacity, reserved)).isPresent())
+                        .filter(q -> q == own || q.servedSlotMs() <= startTime)
+                        .filter(q -> q.next(x -> hasSlot(x, capacity, reserved)).isPresent())
                         .mapToInt(ClassQueue::size)
                         .sum();
-        return own.size(r.team()) == 0 && freeFor(r, capacity, reserved) - ahead >= 1;
+        return own.size(r.team()) == 0 && freeSlotsFor(r, capacity, reserved) - ahead >= 1;
     }
 
     /** Charges the class of {@code r}, which did not wait. */
-    void passed(AdmissionRequest r, Capacity capacity) {
+    void chargeUnqueued(AdmissionRequest r, Capacity capacity) {
         ClassQueue q = queue(r);
-        q.raise(clock);
+        q.advanceTo(virtualTime);
         charge(q, r, capacity);
     }
 
     /** Returns the next request that there is a place for, if any. */
     Optional<AdmissionRequest> next(Capacity capacity, int reserved) {
         return classes.values().stream()
-                .flatMap(q -> q.next(r -> hasPlace(r, capacity, reserved)).stream())
+                .flatMap(q -> q.next(r -> hasSlot(r, capacity, reserved)).stream())
                 .min(
-                        comparingDouble((AdmissionRequest r) -> queue(r).served())
+                        comparingDouble((AdmissionRequest r) -> queue(r).servedSlotMs())
                                 .thenComparingLong(AdmissionRequest::firstTokenDueMs));
     }
 
@@ -132,28 +132,28 @@
      * and don't get: two classes of one cap may differ ten times in what they use.
      */
     private void charge(ClassQueue q, AdmissionRequest r, Capacity capacity) {
-        clock = Math.max(clock, q.served());
-        q.charge(q.hold().meanMs(r.maxTokens() * capacity.stepMs()));
+        virtualTime = Math.max(virtualTime, q.servedSlotMs());
+        q.charge(q.holdTime().meanMs(r.maxTokens() * capacity.stepMs()));
     }
 
     /** Predicts for {@code r}, which has just come, behind all that is queued before it. */
     Prediction predict(AdmissionRequest r, Capacity capacity, long nowMs) {
-        double turns = queue(r).ahead(r, queue(r).size(r.team())) + 1;
-        return predict(r, turns, capacity, nowMs);
+        double waits = queue(r).requestsAhead(r, queue(r).size(r.team())) + 1;
+        return predict(r, waits, capacity, nowMs);
     }
 
-    private Prediction predict(AdmissionRequest r, double turns, Capacity capacity, long nowMs) {
-        double places = Math.max(capacity.fairShareSlots(), load.running());
-        double turnMs = queue(r).turnMs(holdMs(capacity) / places, nowMs);
-        return Prediction.of(r, turns * turnMs, capacity, holdMs(capacity));
+    private Prediction predict(AdmissionRequest r, double waits, Capacity capacity, long nowMs) {
+        double slots = Math.max(capacity.fairShareSlots(), load.running());
+        double headWaitMs = queue(r).headWaitMs(holdMs(capacity) / slots, nowMs);
+        return Prediction.of(r, waits * headWaitMs, capacity, holdMs(capacity));
     }
 
     /** Tells whether {@code r} would be late even if it were sent now. */
-    boolean tooLate(AdmissionRequest r, Capacity capacity, long nowMs) {
-        if (!tuning.queueDeadlines()) {
+    boolean isTooLate(AdmissionRequest r, Capacity capacity, long nowMs) {
+        if (!settings.queueDeadlines()) {
             return false;
         }
-        return tuning.predictedRefusal()
+        return settings.predictedRefusal()
                 ? !Prediction.of(r, 0, capacity, holdMs(capacity)).meetsTargets(r, nowMs)
                 : nowMs >= r.firstTokenDueMs();
     }
@@ -165,26 +165,26 @@
      * of them waiting one tick would last longer than the time to the next. Only so many are
      * predicted for in a tick, in turn; what can't be in time any more is found at once.
      */
-    void dropLate(Capacity capacity, long nowMs, List<AdmissionRequest> late) {
-        if (!tuning.queueDeadlines()) {
+    void removeLate(Capacity capacity, long nowMs, List<AdmissionRequest> late) {
+        if (!settings.queueDeadlines()) {
             return;
         }
         for (ClassQueue q : classes.values()) {
             for (TeamId team : q.waitingTeams()) {
-                dropTooLate(q, team, capacity, nowMs, late);
+                removeTooLate(q, team, capacity, nowMs, late);
             }
-            if (tuning.predictedRefusal()) {
-                q.teamsInTurn(PREDICTED_IN_ONE_TICK)
-                        .forEach(team -> dropLate(q, team, capacity, nowMs, late));
+            if (settings.predictedRefusal()) {
+                q.nextTeams(MAX_PREDICTED_TEAMS_PER_TICK)
+                        .forEach(team -> removeLate(q, team, capacity, nowMs, late));
             }
         }
     }
 
-    private void dropTooLate(
+    private void removeTooLate(
             ClassQueue q, TeamId id, Capacity capacity, long nowMs, List<AdmissionRequest> late) {
         for (TeamQueue team = q.team(id); team != null; team = q.team(id)) {
             AdmissionRequest first = team.first();
-            if (!tooLate(first, capacity, nowMs)) {
+            if (!isTooLate(first, capacity, nowMs)) {
                 return;
             }
             q.remove(first);
@@ -199,7 +199,7 @@
      * the last waits longest, and one between them comes to the front before it is due. Without
      * class shares that last does not hold; what is late then waits for the front.
      */
-    private void dropLate(
+    private void removeLate(
             ClassQueue q, TeamId id, Capacity capacity, long nowMs, List<AdmissionRequest> late) {
         for (TeamQueue team = q.team(id); team != null; team = q.team(id)) {
             AdmissionRequest first = team.first();
@@ -218,26 +218,28 @@
     }
 
     private boolean isLate(AdmissionRequest r, int before, Capacity capacity, long nowMs) {
-        double turns = queue(r).ahead(r, before) + TURN_LEFT;
-        return !predict(r, turns, capacity, nowMs).meetsTargets(r, nowMs);
+        double waits = queue(r).requestsAhead(r, before) + REMAINING_WAIT_SHARE;
+        return !predict(r, waits, capacity, nowMs).meetsTargets(r, nowMs);
     }
 
-    private boolean hasPlace(AdmissionRequest r, Capacity capacity, int reserved) {
-        return freeFor(r, capacity, reserved) >= 1;
+    private boolean hasSlot(AdmissionRequest r, Capacity capacity, int reserved) {
+        return freeSlotsFor(r, capacity, reserved) >= 1;
     }
 
     /** Returns the places that {@code r} may use of those that {@code capacity} has free. */
-    private double freeFor(AdmissionRequest r, Capacity capacity, int reserved) {
-        double extra = prompt.extraPlaces(r, queue(r), capacity, teams.isOverShare(r.team()));
+    private double freeSlotsFor(AdmissionRequest r, Capacity capacity, int reserved) {
+        double extra =
+                latencySensitive.extraSlots(
+                        r, queue(r), capacity, teamWeights.isOverShare(r.team()));
         return capacity.freeSlots() + extra - load.notYetSent() - reserved;
     }
 
     private double holdMs(Capacity capacity) {
-        return load.hold().meanMs(capacity.holdMs());
+        return load.holdTime().meanMs(capacity.holdMs());
     }
 
     private ClassQueue queue(AdmissionRequest r) {
-        WorkClassId id = tuning.classShares() ? r.workClass().id() : ALL;
-        return classes.computeIfAbsent(id, k -> new ClassQueue(teams::weight, tuning));
+        WorkClassId id = settings.classShares() ? r.workClass().id() : ALL_CLASSES;
+        return classes.computeIfAbsent(id, k -> new ClassQueue(teamWeights::weight, settings));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/limits/RecoveryAdmissionController.java
+++ b/masticweir/src/main/java/org/masticweir/limits/RecoveryAdmissionController.java
@@ -34,26 +34,26 @@
     private static final int MAX_WAITING = 8_192;
 
     /** Time after which a start no longer counts, should its first token never be reported. */
-    private static final long START_LAPSES_MS = 10_000;
+    private static final long START_TIMEOUT_MS = 10_000;
 
     private final CapacitySource capacity;
-    private final LimitSettings tuning;
+    private final LimitSettings settings;
     private final NavigableSet<RecoveryRequest> waitingCount =
             new TreeSet<>(
                     comparingInt((RecoveryRequest r) -> r.workClass().firstTokenMs())
                             .thenComparing(comparingLong(RecoveryRequest::dueMs))
                             .thenComparing(comparing(r -> r.generation().toString())));
-    private final Map<GenerationId, RecoveryRequest> byGeneration = new LinkedHashMap<>();
+    private final Map<GenerationId, RecoveryRequest> waitingByGeneration = new LinkedHashMap<>();
     private final Map<GenerationId, Starting> starting = new LinkedHashMap<>();
 
-    private RecoveryAdmissionController(CapacitySource capacity, LimitSettings tuning) {
+    private RecoveryAdmissionController(CapacitySource capacity, LimitSettings settings) {
         this.capacity = checkNotNull(capacity, "capacity");
-        this.tuning = checkNotNull(tuning, "tuning");
+        this.settings = checkNotNull(settings, "settings");
     }
 
     public static RecoveryAdmissionController create(
-            CapacitySource capacity, LimitSettings tuning) {
-        return new RecoveryAdmissionController(capacity, tuning);
+            CapacitySource capacity, LimitSettings settings) {
+        return new RecoveryAdmissionController(capacity, settings);
     }
 
     /** Returns an admission with the default tuning. */
@@ -71,12 +71,12 @@
         if (waitingCount.size() >= MAX_WAITING) {
             return new GiveUp(r.generation(), ErrorCode.ENGINE_LOST);
         }
-        int limit = limit(new ModelVersion(r.model(), r.version()), nowMs);
-        if (waitingCount(r.model()) == 0 && startingOf(r.model()) < limit) {
+        int limit = limit(new ModelKey(r.model(), r.version()), nowMs);
+        if (waitingCount(r.model()) == 0 && startingCount(r.model()) < limit) {
             return start(r, nowMs);
         }
         waitingCount.add(r);
-        byGeneration.put(r.generation(), r);
+        waitingByGeneration.put(r.generation(), r);
         return new Wait(r.generation());
     }
 
@@ -88,7 +88,7 @@
     /** Takes note that a generation needs no recovery any more, whatever its state. */
     public synchronized void recordEnd(GenerationId generation) {
         starting.remove(checkNotNull(generation, "generation"));
-        RecoveryRequest r = byGeneration.remove(generation);
+        RecoveryRequest r = waitingByGeneration.remove(generation);
         if (r != null) {
             waitingCount.remove(r);
         }
@@ -96,19 +96,19 @@
 
     /** Decides on what waits. */
     public synchronized ImmutableList<RecoveryDecision> tick(long nowMs) {
-        starting.values().removeIf(s -> nowMs - s.sinceMs >= START_LAPSES_MS);
+        starting.values().removeIf(s -> nowMs - s.sinceMs >= START_TIMEOUT_MS);
         ImmutableList.Builder<RecoveryDecision> decisions = ImmutableList.builder();
-        Map<ModelVersion, Integer> limits = new HashMap<>();
+        Map<ModelKey, Integer> limits = new HashMap<>();
         for (Iterator<RecoveryRequest> it = waitingCount.iterator(); it.hasNext(); ) {
             RecoveryRequest r = it.next();
-            ModelVersion key = new ModelVersion(r.model(), r.version());
+            ModelKey key = new ModelKey(r.model(), r.version());
             int limit = limits.computeIfAbsent(key, k -> limit(k, nowMs));
-            boolean late = nowMs >= r.dueMs();
-            if (late || startingOf(r.model()) < limit) {
+            boolean isOverdue = nowMs >= r.dueMs();
+            if (isOverdue || startingCount(r.model()) < limit) {
                 it.remove();
-                byGeneration.remove(r.generation());
+                waitingByGeneration.remove(r.generation());
                 decisions.add(
-                        late
+                        isOverdue
                                 ? new GiveUp(r.generation(), ErrorCode.DEADLINE_EXCEEDED)
                                 : start(r, nowMs));
             }
@@ -126,19 +126,19 @@
         return new Start(r.generation());
     }
 
-    private long startingOf(ModelId model) {
+    private long startingCount(ModelId model) {
         return starting.values().stream().filter(s -> s.model.equals(model)).count();
     }
 
-    private int limit(ModelVersion key, long nowMs) {
+    private int limit(ModelKey key, long nowMs) {
         Capacity c = capacity.capacityOf(key.model(), key.version(), nowMs);
         if (c.engines() == 0) {
             return 0;
         }
-        if (!tuning.recoveryAdmission()) {
+        if (!settings.recoveryAdmission()) {
             return Integer.MAX_VALUE;
         }
-        return Math.max(MIN_STARTING, (int) (tuning.recoveryShare() * c.fairShareSlots()));
+        return Math.max(MIN_STARTING, (int) (settings.recoveryShare() * c.fairShareSlots()));
     }
 
     /** A recovery that was sent and has no new token yet. */
--- a/masticweir/src/main/java/org/masticweir/limits/ReturnSchedule.java
+++ b/masticweir/src/main/java/org/masticweir/limits/RetrySchedule.java
@@ -11,23 +11,23 @@
  *
  * <p>Not thread-safe.
  */
-final class ReturnSchedule {
-    private static final long MIN_MS = 100;
-    private static final long MAX_MS = 30_000;
+final class RetrySchedule {
+    private static final long MIN_RETRY_AFTER_MS = 100;
+    private static final long MAX_RETRY_AFTER_MS = 30_000;
     private static final double JITTER = 0.5;
 
     private final RandomGenerator random;
-    private double bookedUntilMs;
+    private double reservedUntilMs;
 
-    ReturnSchedule(RandomGenerator random) {
+    RetrySchedule(RandomGenerator random) {
         this.random = random;
     }
 
     /** Returns how long to stay away, with {@code backlogMs} of work waiting now. */
-    long book(double backlogMs, double serviceIntervalMs, long nowMs) {
-        double start = Math.max(bookedUntilMs, nowMs + backlogMs);
-        bookedUntilMs = Math.min(start + serviceIntervalMs, nowMs + MAX_MS);
-        double ms = (bookedUntilMs - nowMs) * (1 + JITTER * (random.nextDouble() - 0.5));
-        return Math.round(Math.max(MIN_MS * (1 + random.nextDouble()), ms));
+    long reserve(double backlogMs, double serviceIntervalMs, long nowMs) {
+        double start = Math.max(reservedUntilMs, nowMs + backlogMs);
+        reservedUntilMs = Math.min(start + serviceIntervalMs, nowMs + MAX_RETRY_AFTER_MS);
+        double ms = (reservedUntilMs - nowMs) * (1 + JITTER * (random.nextDouble() - 0.5));
+        return Math.round(Math.max(MIN_RETRY_AFTER_MS * (1 + random.nextDouble()), ms));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
+++ b/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
@@ -30,17 +30,17 @@
     private final IntSupplier routers;
 
     /** How many times its even part of the free places one router may fill from one report. */
-    private final double burst;
+    private final double burstFactor;
 
     private SnapshotCapacity(
             Supplier<RoutingSnapshot> snapshot,
             InFlight inFlight,
             IntSupplier routers,
-            double burst) {
+            double burstFactor) {
         this.snapshot = checkNotNull(snapshot, "snapshot");
         this.inFlight = checkNotNull(inFlight, "inFlight");
         this.routers = checkNotNull(routers, "routers");
-        this.burst = burst;
+        this.burstFactor = burstFactor;
     }
 
     /**
@@ -52,8 +52,8 @@
             Supplier<RoutingSnapshot> snapshot,
             InFlight inFlight,
             IntSupplier routers,
-            LimitSettings tuning) {
-        return new SnapshotCapacity(snapshot, inFlight, routers, tuning.burst());
+            LimitSettings settings) {
+        return new SnapshotCapacity(snapshot, inFlight, routers, settings.burstFactor());
     }
 
     /** Returns a source with the default tuning. */
@@ -68,40 +68,40 @@
         if (engines.isEmpty()) {
             return Capacity.none();
         }
-        double even = 1.0 / Math.max(1, routers.getAsInt());
-        double part = Math.min(1, burst * even);
-        double places = sum(engines, EngineView::usableCapacity);
-        double free =
-                Math.ceil(part * sum(engines, SnapshotCapacity::reportedFree))
-                        - Math.floor(even * sum(engines, SnapshotCapacity::overfull));
+        double evenShare = 1.0 / Math.max(1, routers.getAsInt());
+        double burstShare = Math.min(1, burstFactor * evenShare);
+        double slots = sum(engines, EngineView::usableCapacity);
+        double freeSlots =
+                Math.ceil(burstShare * sum(engines, SnapshotCapacity::reportedFree))
+                        - Math.floor(evenShare * sum(engines, SnapshotCapacity::waitingInEngine));
         return new Capacity(
                 engines.size(),
-                free - sum(engines, e -> sentSince(e, nowMs)),
-                part * places,
-                even * places,
+                freeSlots - sum(engines, e -> sentSinceReport(e, nowMs)),
+                burstShare * slots,
+                evenShare * slots,
                 mean(engines, e -> e.speed().holdMs()),
                 mean(engines, e -> e.speed().prefillTokensPerMs()),
-                mean(engines, SnapshotCapacity::fullStepMs));
+                mean(engines, SnapshotCapacity::stepMsAtFullLoad));
     }
 
-    private double sentSince(EngineView e, long nowMs) {
-        return inFlight.expectedLoad(e, nowMs) - reported(e);
+    private double sentSinceReport(EngineView e, long nowMs) {
+        return inFlight.expectedLoad(e, nowMs) - reportedLoad(e);
     }
 
     private static double reportedFree(EngineView e) {
-        return Math.max(0, e.usableCapacity() - reported(e));
+        return Math.max(0, e.usableCapacity() - reportedLoad(e));
     }
 
     /** Returns the sequences that wait for a place within the engine. */
-    private static double overfull(EngineView e) {
-        return Math.max(0, reported(e) - e.usableCapacity());
+    private static double waitingInEngine(EngineView e) {
+        return Math.max(0, reportedLoad(e) - e.usableCapacity());
     }
 
-    private static int reported(EngineView e) {
+    private static int reportedLoad(EngineView e) {
         return e.load().running() + e.load().waiting();
     }
 
-    private static double fullStepMs(EngineView e) {
+    private static double stepMsAtFullLoad(EngineView e) {
         return e.speed().stepMs() + e.speed().stepGrowthMs() * e.load().capacity();
     }
 
--- a/masticweir/src/main/java/org/masticweir/limits/TeamShares.java
+++ b/masticweir/src/main/java/org/masticweir/limits/TeamShares.java
@@ -26,24 +26,24 @@
  */
 public final class TeamShares implements TeamWeights {
     /** Time in which the memory of a use falls to 1/e, in ms. */
-    private static final double MEMORY_MS = 10_000;
+    private static final double DECAY_MS = 10_000;
 
     private static final double MS_PER_S = 1_000;
     private static final int MAX_TEAMS = 512;
     private static final int MAX_ROUTERS = 1_024;
-    private static final long DIGEST_LAPSES_MS = 30_000;
+    private static final long DIGEST_TTL_MS = 30_000;
     private static final double MIN_CORRECTION = 0.05;
 
     /** Correction below which a team is over its share, and not by the chance of a few seconds. */
-    private static final double OVER_SHARE = 0.7;
+    private static final double OVER_SHARE_CORRECTION = 0.7;
 
     /** Use below which a team no longer counts as active, in tokens a second. */
     private static final double ACTIVE_TOKENS_PER_S = 0.01;
 
     private final RouterId self;
     private final ToIntFunction<TeamId> share;
-    private final Map<TeamId, DecayingSum> own = new HashMap<>();
-    private final Map<RouterId, Received> others = new HashMap<>();
+    private final Map<TeamId, DecayingSum> ownUsage = new HashMap<>();
+    private final Map<RouterId, ReceivedDigest> received = new HashMap<>();
     private volatile ImmutableMap<TeamId, Double> corrections = ImmutableMap.of();
 
     private TeamShares(RouterId self, ToIntFunction<TeamId> share) {
@@ -68,58 +68,58 @@
 
     @Override
     public boolean isOverShare(TeamId team) {
-        return corrections.getOrDefault(team, 1.0) < OVER_SHARE;
+        return corrections.getOrDefault(team, 1.0) < OVER_SHARE_CORRECTION;
     }
 
     /** Adds {@code tokens} to the use of {@code team}. */
     public synchronized void recordUsage(TeamId team, int tokens, long nowMs) {
         checkNotNull(team, "team");
-        if (own.size() >= MAX_TEAMS && !own.containsKey(team)) {
-            dropLeast(nowMs);
+        if (ownUsage.size() >= MAX_TEAMS && !ownUsage.containsKey(team)) {
+            evictLowestUsage(nowMs);
         }
-        own.computeIfAbsent(team, t -> new DecayingSum()).add(tokens, nowMs);
+        ownUsage.computeIfAbsent(team, t -> new DecayingSum()).add(tokens, nowMs);
     }
 
     /** Returns what to tell the other routers. */
     public synchronized TeamUsageDigest digest(long nowMs) {
-        List<TeamUsage> uses = ownUses(nowMs);
-        double total = uses.stream().mapToDouble(TeamUsage::tokensPerS).sum();
-        List<TeamUsage> top = uses.subList(0, Math.min(TeamUsageDigest.MAX_TOP, uses.size()));
-        return new TeamUsageDigest(top, total, uses.size());
+        List<TeamUsage> usages = ownUsages(nowMs);
+        double total = usages.stream().mapToDouble(TeamUsage::tokensPerS).sum();
+        List<TeamUsage> top = usages.subList(0, Math.min(TeamUsageDigest.MAX_TOP, usages.size()));
+        return new TeamUsageDigest(top, total, usages.size());
     }
 
     /** Takes the digest of another router in place of its earlier one. */
     public synchronized void merge(RouterId from, TeamUsageDigest digest, long nowMs) {
         checkNotNull(from, "from");
         checkNotNull(digest, "digest");
-        boolean known = others.containsKey(from);
-        if (!from.equals(self) && (known || others.size() < MAX_ROUTERS)) {
-            others.put(from, new Received(digest, nowMs));
+        boolean isKnown = received.containsKey(from);
+        if (!from.equals(self) && (isKnown || received.size() < MAX_ROUTERS)) {
+            received.put(from, new ReceivedDigest(digest, nowMs));
         }
     }
 
     /** Works out all weights anew. */
     public synchronized void updateWeights(long nowMs) {
-        others.values().removeIf(r -> nowMs - r.atMs >= DIGEST_LAPSES_MS);
+        received.values().removeIf(r -> nowMs - r.atMs >= DIGEST_TTL_MS);
         List<TeamUsageDigest> digests = new ArrayList<>();
         digests.add(digest(nowMs));
-        others.values().forEach(r -> digests.add(r.digest));
+        received.values().forEach(r -> digests.add(r.digest));
         corrections = corrections(digests);
     }
 
     private ImmutableMap<TeamId, Double> corrections(List<TeamUsageDigest> digests) {
-        Map<TeamId, Double> use = new HashMap<>();
+        Map<TeamId, Double> usage = new HashMap<>();
         double total = 0;
         int active = 0;
         for (TeamUsageDigest d : digests) {
-            d.top().forEach(u -> use.merge(u.team(), u.tokensPerS(), Double::sum));
+            d.top().forEach(u -> usage.merge(u.team(), u.tokensPerS(), Double::sum));
             total += d.totalTokensPerS();
             active = Math.max(active, d.activeTeams());
         }
-        double shares = use.keySet().stream().mapToInt(share).sum();
-        double perShare = total / Math.max(1, shares + Math.max(0, active - use.size()));
+        double shares = usage.keySet().stream().mapToInt(share).sum();
+        double perShare = total / Math.max(1, shares + Math.max(0, active - usage.size()));
         ImmutableMap.Builder<TeamId, Double> result = ImmutableMap.builder();
-        use.forEach(
+        usage.forEach(
                 (team, tokens) -> {
                     double fair = perShare * share.applyAsInt(team);
                     if (tokens > fair) {
@@ -129,23 +129,23 @@
         return result.buildOrThrow();
     }
 
-    private ImmutableList<TeamUsage> ownUses(long nowMs) {
-        return own.entrySet().stream()
-                .map(e -> new TeamUsage(e.getKey(), e.getValue().perS(nowMs)))
+    private ImmutableList<TeamUsage> ownUsages(long nowMs) {
+        return ownUsage.entrySet().stream()
+                .map(e -> new TeamUsage(e.getKey(), e.getValue().ratePerS(nowMs)))
                 .filter(u -> u.tokensPerS() >= ACTIVE_TOKENS_PER_S)
                 .sorted(Comparator.comparingDouble(TeamUsage::tokensPerS).reversed())
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private void dropLeast(long nowMs) {
-        own.entrySet().stream()
-                .min(Comparator.comparingDouble(e -> e.getValue().perS(nowMs)))
+    private void evictLowestUsage(long nowMs) {
+        ownUsage.entrySet().stream()
+                .min(Comparator.comparingDouble(e -> e.getValue().ratePerS(nowMs)))
                 .map(Map.Entry::getKey)
-                .ifPresent(own::remove);
+                .ifPresent(ownUsage::remove);
     }
 
     /** A digest and when it came. */
-    private record Received(TeamUsageDigest digest, long atMs) {}
+    private record ReceivedDigest(TeamUsageDigest digest, long atMs) {}
 
     /** A sum whose parts fade with age. */
     private static final class DecayingSum {
@@ -153,16 +153,16 @@
         private long atMs;
 
         void add(int tokens, long nowMs) {
-            sum = at(nowMs) + tokens;
+            sum = valueAt(nowMs) + tokens;
             atMs = Math.max(atMs, nowMs);
         }
 
-        double perS(long nowMs) {
-            return at(nowMs) * MS_PER_S / MEMORY_MS;
+        double ratePerS(long nowMs) {
+            return valueAt(nowMs) * MS_PER_S / DECAY_MS;
         }
 
-        private double at(long nowMs) {
-            return sum * Math.exp(-Math.max(0, nowMs - atMs) / MEMORY_MS);
+        private double valueAt(long nowMs) {
+            return sum * Math.exp(-Math.max(0, nowMs - atMs) / DECAY_MS);
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
@@ -29,7 +29,7 @@
     private static final ModelId MODEL = ModelId.of("report");
     private static final WorkClass LOOKUPS = workClass("lookups", 340, 3_000);
     private static final WorkClass REPORTS = workClass("reports", 4_000, 60_000);
-    private static final int PLACES = 20;
+    private static final int SLOTS = 20;
     private static final int HOLD_MS = 1_000;
 
     private int engines = 1;
@@ -49,22 +49,22 @@
     }
 
     private Capacity capacity() {
-        return new Capacity(engines, PLACES - busy, PLACES, PLACES, HOLD_MS, 10, 5);
+        return new Capacity(engines, SLOTS - busy, SLOTS, SLOTS, HOLD_MS, 10, 5);
     }
 
     private AdmissionDecision offer(String id, String team, WorkClass c, long now) {
         AdmissionDecision d = admission.offer(request(id, team, c, now), now);
-        started(d);
+        markSentIfAdmitted(d);
         return d;
     }
 
     private List<AdmissionDecision> tick(long now) {
         List<AdmissionDecision> decisions = admission.tick(now);
-        decisions.forEach(this::started);
+        decisions.forEach(this::markSentIfAdmitted);
         return decisions;
     }
 
-    private void started(AdmissionDecision d) {
+    private void markSentIfAdmitted(AdmissionDecision d) {
         if (d instanceof Admitted) {
             busy++;
             admission.recordSend(d.request());
@@ -73,10 +73,10 @@
 
     /** Work that can't be served in time. */
     @Nested
-    class Late {
+    class PredictedLate {
         @Test
-        void isRefusedOnArrivalWithATimeToReturn() {
-            busy = PLACES;
+        void isRefusedOnArrivalWithRetryAfter() {
+            busy = SLOTS;
             for (int n = 0; n < 6; n++) {
                 assertInstanceOf(Queued.class, offer("q" + n, "a", LOOKUPS, 0));
             }
@@ -87,7 +87,7 @@
 
         @Test
         void isRefusedFromTheQueueBeforeItsTargetHasPassed() {
-            busy = PLACES;
+            busy = SLOTS;
             offer("q", "a", LOOKUPS, 0);
             assertEquals(List.of(), tick(100));
             Refused r = assertInstanceOf(Refused.class, tick(300).get(0));
@@ -97,7 +97,7 @@
 
         @Test
         void withoutAnEngineIsRefusedAtOnce() {
-            busy = PLACES;
+            busy = SLOTS;
             offer("q", "a", REPORTS, 0);
             engines = 0;
             assertEquals(ErrorCode.NO_ENGINE, ((Refused) tick(1).get(0)).code());
@@ -111,8 +111,8 @@
          * Cause: one retry-after for all.
          */
         @Test
-        void returnsAreSpreadByTheBacklog() {
-            busy = PLACES;
+        void retriesAreSpreadByTheBacklog() {
+            busy = SLOTS;
             long max = 0;
             int[] perSecond = new int[60];
             for (int n = 0; n < 200; n++) {
@@ -123,7 +123,7 @@
             }
             assertTrue(max > 8_000, "last return after " + max + " ms");
             for (int n : perSecond) {
-                assertTrue(n <= 2 * PLACES, n + " returns in one second");
+                assertTrue(n <= 2 * SLOTS, n + " returns in one second");
             }
         }
     }
@@ -138,20 +138,20 @@
          */
         @Test
         void twiceTheLoadKeepsLookupsWithinTarget(TestReporter reporter) {
-            Outcome fifo = new Loop(true).run(20, 40);
+            Outcome fifo = new Simulation(true).run(20, 40);
             busy = 0;
-            Outcome o = new Loop(false).run(20, 40);
+            Outcome o = new Simulation(false).run(20, 40);
             reporter.publishEntry("overload", "in order of arrival " + fifo + ", admission " + o);
             assertTrue(fifo.lookupsInTime < 0.2 * fifo.lookups, fifo.toString());
             assertEquals(0, o.lookupsLate, o.toString());
             assertTrue(o.lookupsInTime >= 0.98 * o.lookups, o.toString());
             assertEquals(0, o.reportsLate, o.toString());
-            assertTrue(o.reportsInTime >= 0.9 * o.placesLeftForReports(), o.toString());
+            assertTrue(o.reportsInTime >= 0.9 * o.slotsLeftForReports(), o.toString());
         }
 
         @Test
-        void recoveriesThatWaitGoFirst() {
-            busy = PLACES - 2;
+        void waitingRecoveriesGoFirst() {
+            busy = SLOTS - 2;
             recoveries = 2;
             assertInstanceOf(Queued.class, offer("q", "a", REPORTS, 0));
             recoveries = 0;
@@ -169,7 +169,7 @@
          */
         @Test
         void aBurstOfOneTeamDoesNotDelayOthers() {
-            busy = PLACES;
+            busy = SLOTS;
             for (int n = 0; n < 300; n++) {
                 offer("big" + n, "big", REPORTS, 0);
             }
@@ -183,7 +183,7 @@
 
         @Test
         void teamsShareByTokens() {
-            busy = PLACES;
+            busy = SLOTS;
             for (int n = 0; n < 30; n++) {
                 offer("a" + n, "a", REPORTS, 0);
                 offer("b" + n, "b", REPORTS, 0);
@@ -203,38 +203,38 @@
             int reportsInTime,
             int reportsLate) {
         /** Returns how many reports the places can end at most, besides all lookups. */
-        double placesLeftForReports() {
-            double placeMs = PLACES * Loop.END_MS - lookups * Loop.LOOKUP_HOLD_MS;
-            return placeMs / HOLD_MS;
+        double slotsLeftForReports() {
+            double slotMs = SLOTS * Simulation.END_MS - lookups * Simulation.LOOKUP_HOLD_MS;
+            return slotMs / HOLD_MS;
         }
     }
 
     /** Offers work at a steady rate and ends it after the time it holds its place. */
-    private final class Loop {
+    private final class Simulation {
         private static final int END_MS = 20_000;
         private static final int TICK_MS = 5;
         private static final int LOOKUP_HOLD_MS = 100;
         private final Random random = new Random(11);
         private final Deque<String> fifo = new ArrayDeque<>();
-        private final boolean inOrderOfArrival;
+        private final boolean isFifo;
         private final List<long[]> running = new ArrayList<>();
         private final List<long[]> offered = new ArrayList<>();
         private final int[] inTime = new int[2];
         private final int[] late = new int[2];
         private final int[] count = new int[2];
 
-        Loop(boolean inOrderOfArrival) {
-            this.inOrderOfArrival = inOrderOfArrival;
+        Simulation(boolean isFifo) {
+            this.isFifo = isFifo;
         }
 
         Outcome run(int lookupsPerS, int reportsPerS) {
             for (long now = 0; now < END_MS; now += TICK_MS) {
                 end(now);
                 long at = now;
-                tick(now).forEach(d -> take(d, at));
-                while (busy < PLACES && !fifo.isEmpty()) {
+                tick(now).forEach(d -> addDecision(d, at));
+                while (busy < SLOTS && !fifo.isEmpty()) {
                     busy++;
-                    take(new Admitted(RequestId.of(fifo.poll())), now);
+                    addDecision(new Admitted(RequestId.of(fifo.poll())), now);
                 }
                 arrive(0, lookupsPerS, now);
                 arrive(1, reportsPerS, now);
@@ -247,15 +247,16 @@
                 count[kind]++;
                 int n = offered.size();
                 offered.add(new long[] {kind, now});
-                if (inOrderOfArrival) {
+                if (isFifo) {
                     fifo.add("n" + n);
                 } else {
-                    take(offer("n" + n, "t" + n % 5, kind == 0 ? LOOKUPS : REPORTS, now), now);
+                    addDecision(
+                            offer("n" + n, "t" + n % 5, kind == 0 ? LOOKUPS : REPORTS, now), now);
                 }
             }
         }
 
-        private void take(AdmissionDecision d, long now) {
+        private void addDecision(AdmissionDecision d, long now) {
             if (d instanceof Admitted) {
                 int n = Integer.parseInt(d.request().value().substring(1));
                 int kind = (int) offered.get(n)[0];
--- a/masticweir/src/test/java/org/masticweir/limits/BatchEngine.java
+++ b/masticweir/src/test/java/org/masticweir/limits/BatchEngine.java
@@ -11,7 +11,7 @@
 
 /** A continuously batching engine on a clock that the caller moves: 16 places, late reports. */
 final class BatchEngine {
-    static final int PLACES = 16;
+    static final int SLOTS = 16;
     static final int STEP_MS = 30;
     static final int PREFILL_TOKENS_PER_MS = 10;
     private static final int CHUNK_TOKENS = 256;
@@ -57,7 +57,7 @@
             }
             running.removeIf(s -> s.tokensLeft == 0);
         }
-        while (running.size() < PLACES && !waiting.isEmpty()) {
+        while (running.size() < SLOTS && !waiting.isEmpty()) {
             running.add(waiting.remove());
         }
         if (stepEndsMs < 0 && !running.isEmpty()) {
@@ -92,7 +92,7 @@
         if (samples.getFirst().atMs <= now - REPORT_LAG_MS) {
             load = samples.getFirst().load;
         }
-        return LoadReport.of(Math.min(load, PLACES), Math.max(0, load - PLACES), PLACES);
+        return LoadReport.of(Math.min(load, SLOTS), Math.max(0, load - SLOTS), SLOTS);
     }
 
     private Sample second() {
--- a/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
@@ -22,7 +22,7 @@
 
 /** Tests what each switch of the limits turns off: the baselines of the trials. */
 class LimitTuningTest {
-    static final String LEAST =
+    static final String MINIMAL_SETTINGS =
             String.join(
                     "\n",
                     "[router]",
@@ -35,11 +35,11 @@
                     "address = 127.0.0.1:7090",
                     "[limits]",
                     "");
-    private static final int PLACES = 20;
+    private static final int SLOTS = 20;
     private static final WorkClass LOOKUPS = workClass("lookups", 340);
     private static final WorkClass REPORTS = workClass("reports", 4_000);
 
-    private int busy = PLACES;
+    private int busy = SLOTS;
     private int arrivals;
 
     private static WorkClass workClass(String id, int firstMs) {
@@ -48,9 +48,10 @@
     }
 
     private AdmissionController admission(String... lines) {
-        DaemonSettings settings = DaemonSettings.parse("r.ini", LEAST + String.join("\n", lines));
+        DaemonSettings settings =
+                DaemonSettings.parse("r.ini", MINIMAL_SETTINGS + String.join("\n", lines));
         return AdmissionController.create(
-                (m, v, now) -> new Capacity(1, PLACES - busy, PLACES, PLACES, 1_000, 10, 5),
+                (m, v, now) -> new Capacity(1, SLOTS - busy, SLOTS, SLOTS, 1_000, 10, 5),
                 t -> 1,
                 m -> 0,
                 new Random(3),
@@ -79,7 +80,7 @@
 
     @Test
     void settingsLeftOutGiveTheDefaults() {
-        DaemonSettings settings = DaemonSettings.parse("r.ini", LEAST);
+        DaemonSettings settings = DaemonSettings.parse("r.ini", MINIMAL_SETTINGS);
         assertEquals(LimitSettings.defaults(), LimitSettings.of(settings.limits()));
     }
 
@@ -89,14 +90,14 @@
         private String firstOf(AdmissionController a) {
             offer(a, "report", "a", REPORTS);
             offer(a, "lookup", "a", LOOKUPS);
-            busy = PLACES - 1;
+            busy = SLOTS - 1;
             return ids(a.tick(1)).get(0);
         }
 
         @Test
         void isByClassUnlessTurnedOff() {
             assertEquals("lookup", firstOf(admission("headroom_percent = 0")));
-            busy = PLACES;
+            busy = SLOTS;
             assertEquals("report", firstOf(admission("class_shares = false")));
         }
 
@@ -105,12 +106,12 @@
             AdmissionController fair = admission("headroom_percent = 0");
             AdmissionController off = admission("headroom_percent = 0", "fair_shares = false");
             for (AdmissionController a : List.of(fair, off)) {
-                busy = PLACES;
+                busy = SLOTS;
                 for (int i = 1; i <= 4; i++) {
                     offer(a, "large-" + i, "large", REPORTS);
                 }
                 offer(a, "small", "small", REPORTS);
-                busy = PLACES - 2;
+                busy = SLOTS - 2;
                 List<String> served = ids(a.tick(1));
                 assertEquals(a == fair, served.contains("small"), served.toString());
             }
@@ -142,7 +143,7 @@
                     admission("predicted_refusal = false", "queue_deadlines = false");
             seventh(off);
             assertEquals(List.of(), off.tick(10_000));
-            busy = PLACES - 1;
+            busy = SLOTS - 1;
             assertInstanceOf(Admitted.class, off.tick(10_000).get(0));
         }
     }
--- a/masticweir/src/test/java/org/masticweir/limits/ManyTeamsTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/ManyTeamsTest.java
@@ -43,16 +43,16 @@
 
     /** The teams that one tick looks at. */
     @Nested
-    class InTurn {
+    class RoundRobin {
         @Test
-        void allComeUpWithinThreeTurns() {
+        void allTeamsAreReturnedWithinThreeCalls() {
             ClassQueue queue = new ClassQueue(t -> 1, LimitSettings.defaults());
             for (int n = 0; n < TEAMS; n++) {
                 queue.add(request(n), 0);
             }
             Set<TeamId> seen = new HashSet<>();
             for (int turn = 0; turn < 3; turn++) {
-                ImmutableList<TeamId> looked = queue.teamsInTurn(64);
+                ImmutableList<TeamId> looked = queue.nextTeams(64);
                 assertEquals(64, looked.size());
                 seen.addAll(looked);
             }
@@ -68,7 +68,7 @@
          * many teams wait, and only some are looked at. Cause: the rest wait for their turn.
          */
         @Test
-        void nothingWaitsPastItHoweverManyTeamsThereAre() {
+        void noRequestWaitsPastItWithManyTeams() {
             AdmissionController admission =
                     AdmissionController.create(
                             (m, v, now) -> new Capacity(1, 0, 20, 20, 1_000, 10, 5),
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
@@ -86,7 +86,7 @@
     static final Profile CONFIRMATIONS = profile("confirmations", 500, 5_000, 20, 8, 0.3, 13, 4);
 
     /** The routers of a replay, and whether they tell each other of teams' use. */
-    record Fleet(int routers, boolean exchange) {
+    record Fleet(int routers, boolean exchangesUsage) {
         static final Fleet TWO = new Fleet(2, false);
     }
 
@@ -95,17 +95,17 @@
     private final ManualClock clock = ManualClock.startingAt(0);
     private final List<BatchEngine> engines;
     private final List<Profile> mix;
-    private final List<Entry> routers = new ArrayList<>();
+    private final List<SimulatedRouter> routers = new ArrayList<>();
     private final List<Call> calls = new ArrayList<>();
 
     private OverloadReplay(
-            List<Profile> mix, int engines, Fleet fleet, LimitSettings tuning, int seed) {
+            List<Profile> mix, int engines, Fleet fleet, LimitSettings settings, int seed) {
         random = new Random(seed);
         this.fleet = fleet;
         this.mix = mix;
         this.engines = IntStream.range(0, engines).mapToObj(i -> new BatchEngine()).toList();
         for (int i = 0; i < fleet.routers; i++) {
-            routers.add(new Entry(tuning, i));
+            routers.add(new SimulatedRouter(settings, i));
         }
     }
 
@@ -135,10 +135,10 @@
     static ImmutableList<OverloadReplay> runs(
             List<Profile> mix,
             int engines,
-            LimitSettings tuning,
+            LimitSettings settings,
             double ratePerS,
             double burstPerS) {
-        return runs(mix, engines, Fleet.TWO, tuning, ratePerS, burstPerS);
+        return runs(mix, engines, Fleet.TWO, settings, ratePerS, burstPerS);
     }
 
     /** The same with another fleet of routers. */
@@ -146,11 +146,11 @@
             List<Profile> mix,
             int engines,
             Fleet fleet,
-            LimitSettings tuning,
+            LimitSettings settings,
             double ratePerS,
             double burstPerS) {
         return SEEDS.stream()
-                .map(seed -> new OverloadReplay(mix, engines, fleet, tuning, seed))
+                .map(seed -> new OverloadReplay(mix, engines, fleet, settings, seed))
                 .peek(replay -> replay.run(ratePerS, burstPerS))
                 .collect(ImmutableList.toImmutableList());
     }
@@ -252,7 +252,7 @@
         private final long atMs;
         private final int prompt;
         private final int tokens;
-        private final Entry router;
+        private final SimulatedRouter router;
         private long firstTokenMs = -1;
         private long totalMs = -1;
         private long refusedAfterMs = -1;
@@ -295,7 +295,7 @@
     }
 
     /** One router: its admission, its chooser and what it last heard of the engines. */
-    private final class Entry {
+    private final class SimulatedRouter {
         private final InFlight inFlight = InFlight.create();
         private final ExpectedDelayChooser chooser;
         private final RouterId id;
@@ -304,7 +304,7 @@
         private final int phaseMs;
         private RoutingSnapshot snapshot;
 
-        Entry(LimitSettings tuning, int index) {
+        SimulatedRouter(LimitSettings settings, int index) {
             Random own = new Random(index);
             phaseMs = index * POLL_MS / fleet.routers;
             chooser = ExpectedDelayChooser.create(inFlight, () -> own);
@@ -313,11 +313,11 @@
             admission =
                     AdmissionController.create(
                             SnapshotCapacity.create(
-                                    () -> snapshot, inFlight, () -> fleet.routers, tuning),
+                                    () -> snapshot, inFlight, () -> fleet.routers, settings),
                             shares,
                             m -> 0,
                             own,
-                            tuning);
+                            settings);
             poll(0);
         }
 
@@ -325,19 +325,19 @@
             if (now % POLL_MS == phaseMs) {
                 poll(now);
             }
-            if (fleet.exchange && now % EXCHANGE_MS == 0) {
+            if (fleet.exchangesUsage && now % EXCHANGE_MS == 0) {
                 routers.forEach(other -> other.shares.merge(id, shares.digest(now), now));
             }
             if (now % SETTLE_MS == 0) {
                 shares.updateWeights(now);
             }
             if (now % TICK_MS == 0) {
-                admission.tick(now).forEach(this::take);
+                admission.tick(now).forEach(this::applyDecision);
             }
         }
 
         void offer(Call call) {
-            take(admission.offer(call.work(), clock.nowMs()));
+            applyDecision(admission.offer(call.work(), clock.nowMs()));
         }
 
         void ended(Call call, int engine) {
@@ -346,7 +346,7 @@
             shares.recordUsage(TeamId.of(call.team), call.tokens, clock.nowMs());
         }
 
-        private void take(AdmissionDecision decision) {
+        private void applyDecision(AdmissionDecision decision) {
             Call call = calls.get(Integer.parseInt(decision.request().value().substring(1)));
             if (decision instanceof Refused) {
                 call.refusedAfterMs = clock.nowMs() - call.atMs;
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
@@ -31,12 +31,14 @@
     private static List<OverloadReplay> replay(
             ImmutableList<Profile> mix, double load, String... lines) {
         double rate = (mix.equals(ALL) ? ALL_RATE : LONG_RATE) * load;
-        return OverloadReplay.runs(mix, 2, tuning(lines), rate, 0);
+        return OverloadReplay.runs(mix, 2, limitSettings(lines), rate, 0);
     }
 
-    private static LimitSettings tuning(String... lines) {
+    private static LimitSettings limitSettings(String... lines) {
         return LimitSettings.of(
-                DaemonSettings.parse("r.ini", LimitTuningTest.LEAST + String.join("\n", lines))
+                DaemonSettings.parse(
+                                "r.ini",
+                                LimitTuningTest.MINIMAL_SETTINGS + String.join("\n", lines))
                         .limits());
     }
 
@@ -45,7 +47,7 @@
     }
 
     /** Prints and returns a replay, a line for each class. */
-    private static List<OverloadReplay> printed(
+    private static List<OverloadReplay> replayAndPrint(
             ImmutableList<Profile> mix, double load, String... lines) {
         List<OverloadReplay> replay = replay(mix, load, lines);
         System.out.printf("%.1fx %s%n", load, String.join(", ", lines));
@@ -53,7 +55,7 @@
         return replay;
     }
 
-    private static void assertKept(
+    private static void assertGoodputKept(
             List<OverloadReplay> once, List<OverloadReplay> twice, ImmutableList<Profile> mix) {
         for (Profile p : mix) {
             Tally at1 = of(once, p);
@@ -72,9 +74,9 @@
          */
         @Test
         void lettersKeepTheirShareBesideReports() {
-            List<OverloadReplay> once = printed(LONG, 1);
-            List<OverloadReplay> twice = printed(LONG, 2);
-            assertKept(once, twice, LONG);
+            List<OverloadReplay> once = replayAndPrint(LONG, 1);
+            List<OverloadReplay> twice = replayAndPrint(LONG, 2);
+            assertGoodputKept(once, twice, LONG);
             assertTrue(of(twice, OverloadReplay.LETTERS).share() >= 0.98);
         }
 
@@ -85,11 +87,11 @@
          */
         @Test
         void lookupsAndConfirmationsAreInTimeWhereReportsQueue() {
-            List<OverloadReplay> once = printed(ALL, 1);
-            List<OverloadReplay> twice = printed(ALL, 2);
+            List<OverloadReplay> once = replayAndPrint(ALL, 1);
+            List<OverloadReplay> twice = replayAndPrint(ALL, 2);
             List<OverloadReplay> off =
-                    printed(ALL, 2, "headroom_percent = 0", "overcommit_percent = 0");
-            assertKept(once, twice, ALL);
+                    replayAndPrint(ALL, 2, "headroom_percent = 0", "overcommit_percent = 0");
+            assertGoodputKept(once, twice, ALL);
             assertTrue(of(twice, OverloadReplay.LOOKUPS).share() >= 0.95);
             assertTrue(of(twice, OverloadReplay.CONFIRMATIONS).share() >= 0.95);
             assertTrue(of(off, OverloadReplay.LOOKUPS).share() < 0.8);
@@ -100,9 +102,12 @@
          * in time waits until its target has passed. Cause: nothing predicts the wait.
          */
         @Test
-        void whatCannotBeServedIsToldEarly() {
+        void lateRequestsAreRefusedEarly() {
             Tally on = of(replay(LONG, 2), OverloadReplay.REPORTS);
-            Tally off = of(printed(LONG, 2, "predicted_refusal = false"), OverloadReplay.REPORTS);
+            Tally off =
+                    of(
+                            replayAndPrint(LONG, 2, "predicted_refusal = false"),
+                            OverloadReplay.REPORTS);
             assertTrue(2 * on.refusedAfterMs / on.refused < off.refusedAfterMs / off.refused);
             assertTrue(on.late < off.late, on + ", " + off);
             assertTrue(on.inTarget > off.inTarget, on + ", " + off);
@@ -113,9 +118,9 @@
     @Nested
     class Mechanisms {
         /** Returns the least part of a class's goodput at 1x that is left at {@code load}. */
-        private double leastKept(ImmutableList<Profile> mix, double load, String... lines) {
+        private double minGoodputKept(ImmutableList<Profile> mix, double load, String... lines) {
             List<OverloadReplay> once = replay(mix, 1);
-            List<OverloadReplay> more = printed(mix, load, lines);
+            List<OverloadReplay> more = replayAndPrint(mix, load, lines);
             return mix.stream()
                     .mapToDouble(p -> (double) of(more, p).inTarget / of(once, p).inTarget)
                     .min()
@@ -125,25 +130,26 @@
         @ParameterizedTest
         @ValueSource(doubles = {1.5, 2})
         void classSharesKeepEachClass(double load) {
-            double on = leastKept(ALL, load);
-            double off = leastKept(ALL, load, "class_shares = false");
+            double on = minGoodputKept(ALL, load);
+            double off = minGoodputKept(ALL, load, "class_shares = false");
             assertTrue(on >= 0.9 && off < 0.9, on + " with, " + off + " without");
         }
 
         @ParameterizedTest
         @ValueSource(strings = {"headroom_percent = 0", "overcommit_percent = 0"})
-        void roomForPromptClassesKeepsLookupsInTime(String off) {
+        void headroomAndOvercommitKeepLookupsInTime(String off) {
             double on = of(replay(ALL, 2), OverloadReplay.LOOKUPS).share();
-            double without = of(printed(ALL, 2, off), OverloadReplay.LOOKUPS).share();
+            double without = of(replayAndPrint(ALL, 2, off), OverloadReplay.LOOKUPS).share();
             assertTrue(on >= 0.95 && without <= on - 0.03, on + " with, " + without + " without");
         }
 
         @ParameterizedTest
         @ValueSource(doubles = {1.5, 2})
         void queueDeadlinesKeepReports(double load) {
-            double on = leastKept(LONG, load);
+            double on = minGoodputKept(LONG, load);
             double off =
-                    leastKept(LONG, load, "predicted_refusal = false", "queue_deadlines = false");
+                    minGoodputKept(
+                            LONG, load, "predicted_refusal = false", "queue_deadlines = false");
             assertTrue(on >= 0.9 && off < 0.5, on + " with, " + off + " without");
         }
     }
@@ -170,7 +176,7 @@
          * don't know of each other's part.
          */
         @Test
-        void routersThatTellEachOtherKeepThemAmongEight() {
+        void usageExchangeKeepsTargetsWithEightRouters() {
             Tally on = burst(new OverloadReplay.Fleet(8, true));
             Tally off = burst(new OverloadReplay.Fleet(8, false));
             assertTrue(on.share() >= 0.9, on.toString());
@@ -184,7 +190,7 @@
         private Tally burst(OverloadReplay.Fleet fleet, String... lines) {
             double rate = LONG_RATE * 0.6;
             List<OverloadReplay> runs =
-                    OverloadReplay.runs(LONG, 2, fleet, tuning(lines), rate, LONG_RATE * 2);
+                    OverloadReplay.runs(LONG, 2, fleet, limitSettings(lines), rate, LONG_RATE * 2);
             Tally small = OverloadReplay.sum(runs, r -> r.ofSmallTeams(OverloadReplay.REPORTS));
             System.out.printf("burst %s %s%n  %s%n", fleet, String.join(", ", lines), small);
             return small;
--- a/masticweir/src/test/java/org/masticweir/limits/RecoveryAdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/RecoveryAdmissionTest.java
@@ -48,7 +48,7 @@
          * Cause: recoveries without a limit on how many start at a time.
          */
         @Test
-        void startsAFewAtATimeMorePromptClassesFirst() {
+        void startsAFewAtATimeShortestTargetFirst() {
             for (int n = 0; n < 4; n++) {
                 assertInstanceOf(Start.class, offer("g" + n, 4_000, 9_000));
             }
@@ -61,7 +61,7 @@
         }
 
         @Test
-        void startsLapseAndWhatIsDueIsGivenUp() {
+        void startsTimeOutAndOverdueRecoveriesAreGivenUp() {
             for (int n = 0; n < 4; n++) {
                 offer("g" + n, 4_000, 90_000);
             }
--- a/masticweir/src/test/java/org/masticweir/limits/SnapshotCapacityTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/SnapshotCapacityTest.java
@@ -35,7 +35,7 @@
     @Nested
     class Shared {
         @Test
-        void aPartOfTheFreePlacesIsOursLessWhatWeSentSince() {
+        void freeSlotsAreDividedLessOwnSendsSinceTheReport() {
             InFlight inFlight = InFlight.create();
             SnapshotCapacity source = SnapshotCapacity.create(() -> snapshot(6), inFlight, () -> 8);
             assertEquals(5, source.capacityOf(MODEL, "3", 0).freeSlots(), 0.01);
@@ -52,14 +52,14 @@
          * replaced at once. Cause: what waits there was not counted against new sends.
          */
         @Test
-        void whatWaitsInTheEnginesIsHeldBackByAllTogether() {
+        void sequencesThatWaitInEnginesReduceFreeSlotsOfAllRouters() {
             SnapshotCapacity source =
                     SnapshotCapacity.create(() -> snapshot(20), InFlight.create(), () -> 2);
             assertEquals(-2, source.capacityOf(MODEL, "3", 0).freeSlots(), 0.01);
         }
 
         @Test
-        void aloneAllFreePlacesAreOurs() {
+        void singleRouterMayFillAllFreeSlots() {
             SnapshotCapacity source =
                     SnapshotCapacity.create(() -> snapshot(6), InFlight.create(), () -> 1);
             assertEquals(10, source.capacityOf(MODEL, "3", 0).freeSlots(), 0.01);
