--- a/masticweir/src/main/java/org/masticweir/claims/ClaimAction.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimAction.java
@@ -31,5 +31,5 @@
     }
 
     /** Nothing is left to do for this claim. */
-    record Forget() implements ClaimAction {}
+    record Remove() implements ClaimAction {}
 }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimBatch.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimBatcher.java
@@ -28,11 +28,11 @@
  * Decides which claims of one router share a transaction, and when.
  *
  * <p>{@link #offer} queues a write, {@link #next} gives the next transaction that is due, and
- * {@link #on} turns a transaction's outcome into the outcomes of its claims. A claim whose row
- * differs fails alone: the others go into the next group. Not thread-safe: owned by the control
+ * {@link #onOutcome} turns a transaction's outcome into the outcomes of its claims. A claim whose
+ * row differs fails alone: the others go into the next group. Not thread-safe: owned by the control
  * thread.
  */
-final class ClaimBatch {
+final class ClaimBatcher {
     /** A queued write and since when it waits. */
     private record Queued(BatchItem item, long sinceMs) {
         RowKey key() {
@@ -49,7 +49,7 @@
     private int failures;
     private long pausedUntilMs = Long.MIN_VALUE;
 
-    ClaimBatch(BatchLimits limits, long nowMs) {
+    ClaimBatcher(BatchLimits limits, long nowMs) {
         this.limits = checkNotNull(limits, "limits");
         budget = new WriteBudget(limits.writesPerSecond(), limits.inFlight(), nowMs);
     }
@@ -80,8 +80,8 @@
         }
         List<Queued> chosen = new ArrayList<>();
         Set<RowKey> keys = new HashSet<>();
-        choose(urgent, chosen, keys, nowMs);
-        choose(lazy, chosen, keys, nowMs);
+        moveToBatch(urgent, chosen, keys, nowMs);
+        moveToBatch(lazy, chosen, keys, nowMs);
         if (chosen.isEmpty()) {
             return Optional.empty();
         }
@@ -97,7 +97,7 @@
     }
 
     /** Takes the outcome of a group and returns what it means for its claims. */
-    List<BatchEvent> on(long group, TransactionOutcome outcome, long nowMs) {
+    List<BatchEvent> onOutcome(long group, TransactionOutcome outcome, long nowMs) {
         List<Queued> items = inFlight.remove(group);
         checkArgument(items != null, "group %s is not under way", group);
         if (outcome instanceof TransactionOutcome.Committed c) {
@@ -106,7 +106,7 @@
         }
         if (outcome instanceof TransactionOutcome.Conflicted c) {
             failures = 0;
-            return conflicted(items, c.rows());
+            return onConflict(items, c.rows());
         }
         List<BatchEvent> events = new ArrayList<>();
         if (outcome instanceof TransactionOutcome.NotDone n) {
@@ -124,7 +124,7 @@
     }
 
     /** Returns how long the rows that callers wait for take, as the budget allows. */
-    long urgentAheadMs() {
+    long urgentQueueMs() {
         return budget.durationMs(urgent.size() / limits.maxRows());
     }
 
@@ -138,23 +138,24 @@
      * <p>A conflict proves that the whole transaction had no effect, so the others start clean. One
      * that names none of its rows proves nothing and could be repeated for ever.
      */
-    private List<BatchEvent> conflicted(List<Queued> items, List<Row> rows) {
+    private List<BatchEvent> onConflict(List<Queued> items, List<Row> rows) {
         Map<RowKey, Row> differing =
                 rows.stream().collect(Collectors.toMap(Row::key, r -> r, (a, b) -> b));
-        List<Queued> hit = new ArrayList<>();
-        List<Queued> innocent = new ArrayList<>();
-        items.forEach(q -> (differing.containsKey(q.key()) ? hit : innocent).add(q));
-        if (hit.isEmpty()) {
+        List<Queued> conflicting = new ArrayList<>();
+        List<Queued> unaffected = new ArrayList<>();
+        items.forEach(q -> (differing.containsKey(q.key()) ? conflicting : unaffected).add(q));
+        if (conflicting.isEmpty()) {
             return events(items, w -> new ClaimEvent.Unknown(w.ticket()));
         }
-        for (Queued q : Lists.reverse(innocent)) {
+        for (Queued q : Lists.reverse(unaffected)) {
             if (q.item().write().urgent()) {
                 urgent.addFirst(q);
             } else {
                 lazy.add(q);
             }
         }
-        return events(hit, w -> new ClaimEvent.Conflicted(w.ticket(), differing.get(w.key())));
+        return events(
+                conflicting, w -> new ClaimEvent.Conflicted(w.ticket(), differing.get(w.key())));
     }
 
     /** During an outage callers get their refusal now: queued writes certainly have no effect. */
@@ -178,7 +179,7 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private void choose(Queue<Queued> from, List<Queued> to, Set<RowKey> keys, long nowMs) {
+    private void moveToBatch(Queue<Queued> from, List<Queued> to, Set<RowKey> keys, long nowMs) {
         List<Queued> later = new ArrayList<>();
         while (to.size() < limits.maxRows() && !from.isEmpty()) {
             if (from.peek().sinceMs() > nowMs) {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimMessageCodecs.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimMessageCodecs.java
@@ -11,48 +11,49 @@
     private static final int CLAIM_TAKEN = 73;
     private static final int CLAIM_ANSWER = 74;
 
-    private static final List<ClaimAnswer.Kind> KINDS = List.of(ClaimAnswer.Kind.values());
+    private static final List<ClaimWriteResponse.Kind> KINDS =
+            List.of(ClaimWriteResponse.Kind.values());
 
-    private static final MessageCodec<ClaimOffer> OFFER =
+    private static final MessageCodec<ClaimWriteRequest> OFFER =
             FieldsCodec.of(
                     CLAIM_OFFER,
-                    ClaimOffer.class,
+                    ClaimWriteRequest.class,
                     6,
                     (m, out) -> {
-                        out.packLong(m.offer().claim()).packInt(m.offer().ticket());
+                        out.packLong(m.id().claim()).packInt(m.id().ticket());
                         out.packString(m.key()).packLong(m.expectedRevision());
                         out.packBoolean(m.urgent()).packString(m.row());
                     },
                     f ->
-                            new ClaimOffer(
-                                    new OfferKey(f.int64(), f.int32()),
-                                    f.text(ClaimOffer.MAX_KEY_BYTES),
+                            new ClaimWriteRequest(
+                                    new ClaimWriteId(f.int64(), f.int32()),
+                                    f.text(ClaimWriteRequest.MAX_KEY_BYTES),
                                     f.int64(),
                                     f.bool(),
-                                    f.text(ClaimOffer.MAX_ROW_BYTES)));
+                                    f.text(ClaimWriteRequest.MAX_ROW_BYTES)));
 
-    private static final MessageCodec<ClaimTaken> TAKEN =
+    private static final MessageCodec<ClaimWriteAccepted> TAKEN =
             FieldsCodec.of(
                     CLAIM_TAKEN,
-                    ClaimTaken.class,
+                    ClaimWriteAccepted.class,
                     2,
-                    (m, out) -> out.packLong(m.offer().claim()).packInt(m.offer().ticket()),
-                    f -> new ClaimTaken(new OfferKey(f.int64(), f.int32())));
+                    (m, out) -> out.packLong(m.id().claim()).packInt(m.id().ticket()),
+                    f -> new ClaimWriteAccepted(new ClaimWriteId(f.int64(), f.int32())));
 
-    private static final MessageCodec<ClaimAnswer> ANSWER =
+    private static final MessageCodec<ClaimWriteResponse> ANSWER =
             FieldsCodec.of(
                     CLAIM_ANSWER,
-                    ClaimAnswer.class,
+                    ClaimWriteResponse.class,
                     3,
                     (m, out) -> {
                         out.packInt(m.kind().ordinal());
                         out.packLong(m.number()).packString(m.value());
                     },
                     f ->
-                            new ClaimAnswer(
+                            new ClaimWriteResponse(
                                     KINDS.get(f.int32()),
                                     f.int64(),
-                                    f.text(ClaimOffer.MAX_ROW_BYTES)));
+                                    f.text(ClaimWriteRequest.MAX_ROW_BYTES)));
 
     private ClaimMessageCodecs() {}
 
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimRow.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimRow.java
@@ -46,7 +46,7 @@
 
     public static ClaimRow claimed(String nonce, RouterId owner, long wallMs) {
         ClaimStatus status = ClaimStatus.CLAIMED;
-        return new ClaimRow(nonce, owner, wallMs, status, status.verdictOfLostOwner(), "");
+        return new ClaimRow(nonce, owner, wallMs, status, status.verdictWithoutOwner(), "");
     }
 
     public static RowKey keyOf(TeamId team, RequestId request) {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimService.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimService.java
@@ -41,7 +41,7 @@
     private static final Logger LOG = LogManager.getLogger(ClaimService.class);
 
     /** A claim being driven. */
-    private record Live(
+    private record ActiveClaim(
             ClaimStateMachine state,
             CompletableFuture<ClaimDecision> decision,
             ScheduledFuture<?> timer) {}
@@ -51,10 +51,10 @@
     private final ScheduledExecutorService control;
     private final Clock clock;
     private final ClaimServiceSettings settings;
-    private final ClaimBatch batch;
-    private final GuestWrites guests;
-    private final Map<Long, Live> live = new HashMap<>();
-    private Optional<OfferedWrites> offered = Optional.empty();
+    private final ClaimBatcher batch;
+    private final PeerWrites peerWrites;
+    private final Map<Long, ActiveClaim> active = new HashMap<>();
+    private Optional<DelegatedWrites> delegated = Optional.empty();
     private long lastClaim;
     private long wakeUpAtMs = Long.MAX_VALUE;
 
@@ -69,8 +69,8 @@
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
         this.settings = checkNotNull(settings, "settings");
-        batch = new ClaimBatch(settings.batch(), clock.nowMs());
-        guests = new GuestWrites(batch, clock);
+        batch = new ClaimBatcher(settings.batch(), clock.nowMs());
+        peerWrites = new PeerWrites(batch, clock);
     }
 
     /** Returns a service that does all its work on {@code control}. */
@@ -92,43 +92,44 @@
             PeerLinks links,
             Supplier<? extends Collection<RouterId>> serving,
             SharedWriteLimits limits) {
-        share(new PeerWriterLinks(links), serving, limits);
+        shareWrites(new PeerWriterLinks(links), serving, limits);
         links.on(
-                ClaimOffer.class,
-                (from, m, reply) -> control.execute(() -> takeGuest(from, m, reply)));
-        links.on(ClaimTaken.class, (from, m, reply) -> control.execute(() -> taken(m)));
+                ClaimWriteRequest.class,
+                (from, m, reply) -> control.execute(() -> acceptPeerWrite(from, m, reply)));
+        links.on(
+                ClaimWriteAccepted.class, (from, m, reply) -> control.execute(() -> onAccepted(m)));
     }
 
     /** Shares writes over {@code links}, which hand messages to the methods below. */
-    void share(
+    void shareWrites(
             WriterLinks links,
             Supplier<? extends Collection<RouterId>> serving,
             SharedWriteLimits limits) {
-        ClaimSharing sharing = new ClaimSharing(self, limits);
-        offered =
+        WriteDelegation delegation = new WriteDelegation(self, limits);
+        delegated =
                 Optional.of(
-                        new OfferedWrites(
-                                sharing,
+                        new DelegatedWrites(
+                                delegation,
                                 limits,
                                 links,
                                 serving,
                                 control,
                                 clock,
                                 () -> batch.isPaused(clock.nowMs()),
-                                this::onShared));
+                                this::onDelegationAction));
     }
 
     /** Queues the write of another router, if there is room; control thread only. */
-    void takeGuest(RouterId from, ClaimOffer offer, Reply reply) {
-        if (guests.take(offer, reply)) {
-            offered.ifPresent(o -> o.tellTaken(from, offer.offer()));
+    void acceptPeerWrite(RouterId from, ClaimWriteRequest request, Reply reply) {
+        if (peerWrites.accept(request, reply)) {
+            delegated.ifPresent(d -> d.sendAccepted(from, request.id()));
         }
-        drive();
+        commitDueGroups();
     }
 
     /** Takes a writer's word that it queued a write of this router; control thread only. */
-    void taken(ClaimTaken message) {
-        offered.ifPresent(o -> o.taken(message.offer()));
+    void onAccepted(ClaimWriteAccepted message) {
+        delegated.ifPresent(d -> d.onAccepted(message.id()));
     }
 
     @Override
@@ -141,12 +142,12 @@
 
     @Override
     public void reportNotSent(ClaimPermit permit) {
-        control.execute(() -> tell(permit.claim(), new ClaimEvent.NotSent()));
+        control.execute(() -> deliver(permit.claim(), new ClaimEvent.NotSent()));
     }
 
     @Override
     public void reportEnded(ClaimPermit permit, Verdict verdict, String result) {
-        control.execute(() -> tell(permit.claim(), new ClaimEvent.Ended(verdict, result)));
+        control.execute(() -> deliver(permit.claim(), new ClaimEvent.Ended(verdict, result)));
     }
 
     @Override
@@ -163,21 +164,21 @@
                 ClaimStateMachine.of(key, row, settings.policy(), now, deadlineMs);
         ScheduledFuture<?> timer =
                 control.schedule(
-                        () -> tell(id, new ClaimEvent.GiveUp()),
+                        () -> deliver(id, new ClaimEvent.GiveUp()),
                         Math.max(0, deadlineMs - now),
                         TimeUnit.MILLISECONDS);
-        live.put(id, new Live(state, decision, timer));
+        active.put(id, new ActiveClaim(state, decision, timer));
         apply(id, state.start(now));
-        drive();
+        commitDueGroups();
     }
 
-    private void tell(long id, ClaimEvent event) {
-        tellOne(id, event);
-        drive();
+    private void deliver(long id, ClaimEvent event) {
+        deliverOne(id, event);
+        commitDueGroups();
     }
 
-    private void tellOne(long id, ClaimEvent event) {
-        Live claim = live.get(id);
+    private void deliverOne(long id, ClaimEvent event) {
+        ActiveClaim claim = active.get(id);
         if (claim == null) {
             return;
         }
@@ -186,8 +187,8 @@
         } catch (IllegalArgumentException | IllegalStateException e) {
             // A row that can't be read (written by a later version, say) must not run twice.
             LOG.error("claims: claim {} dropped, {}", id, e.getMessage());
-            forget(id);
-            decide(
+            remove(id);
+            complete(
                     claim,
                     new ClaimDecision.Refused(
                             MasticweirException.notRun(ErrorCode.INTERNAL, "claim not readable")));
@@ -201,38 +202,38 @@
     }
 
     private void apply(long id, ClaimAction action) {
-        Live claim = live.get(id);
+        ActiveClaim claim = active.get(id);
         if (action instanceof ClaimAction.Write w) {
             write(id, w.write());
         } else if (action instanceof ClaimAction.Grant m) {
-            decide(claim, new ClaimDecision.Granted(new ClaimPermit(id, m.sendBeforeMs())));
+            complete(claim, new ClaimDecision.Granted(new ClaimPermit(id, m.sendBeforeMs())));
         } else if (action instanceof ClaimAction.ReportAlreadyClaimed j) {
-            decide(claim, new ClaimDecision.AlreadyClaimed(j.row()));
+            complete(claim, new ClaimDecision.AlreadyClaimed(j.row()));
         } else if (action instanceof ClaimAction.Refuse r) {
             LOG.warn("claims: claim {} refused, {}", id, r.error().getMessage());
-            decide(claim, new ClaimDecision.Refused(r.error()));
+            complete(claim, new ClaimDecision.Refused(r.error()));
         } else {
-            forget(id);
+            remove(id);
         }
     }
 
     private void write(long id, ClaimWrite write) {
         BatchItem item = new BatchItem(id, write);
-        if (!offered.map(o -> o.offer(item)).orElse(false)) {
-            writeHere(item);
+        if (!delegated.map(o -> o.delegate(item)).orElse(false)) {
+            writeLocally(item);
         }
     }
 
-    private void onShared(SharingAction action) {
-        if (action instanceof SharingAction.Tell t) {
-            tell(t.event().claim(), t.event().event());
+    private void onDelegationAction(DelegationAction action) {
+        if (action instanceof DelegationAction.Report t) {
+            deliver(t.event().claim(), t.event().event());
         } else {
-            writeHere(((SharingAction.WriteHere) action).item());
-            drive();
+            writeLocally(((DelegationAction.WriteLocally) action).item());
+            commitDueGroups();
         }
     }
 
-    private void writeHere(BatchItem item) {
+    private void writeLocally(BatchItem item) {
         ClaimWrite write = item.write();
         long id = item.claim();
         OptionalLong refused = batch.offer(item, clock.nowMs());
@@ -241,21 +242,21 @@
             // and not before the write was meant to start, so that its tries last an outage.
             ClaimEvent event = new ClaimEvent.NotDone(write.ticket(), refused);
             long delayMs = Math.max(0, write.notBeforeMs() - clock.nowMs());
-            control.schedule(() -> tell(id, event), delayMs, TimeUnit.MILLISECONDS);
+            control.schedule(() -> deliver(id, event), delayMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private static void decide(Live claim, ClaimDecision decision) {
+    private static void complete(ActiveClaim claim, ClaimDecision decision) {
         claim.timer().cancel(false);
         claim.decision().complete(decision);
     }
 
-    private void forget(long id) {
-        Live claim = live.remove(id);
+    private void remove(long id) {
+        ActiveClaim claim = active.remove(id);
         claim.timer().cancel(false);
     }
 
-    private void drive() {
+    private void commitDueGroups() {
         long now = clock.nowMs();
         Optional<ClaimGroup> group = batch.next(now);
         while (group.isPresent()) {
@@ -267,21 +268,21 @@
 
     private void commit(ClaimGroup group) {
         table.transact(group.transaction(), settings.timeoutMs())
-                .thenAcceptAsync(outcome -> committed(group, outcome), control);
+                .thenAcceptAsync(outcome -> onOutcome(group, outcome), control);
     }
 
-    private void committed(ClaimGroup group, TransactionOutcome outcome) {
+    private void onOutcome(ClaimGroup group, TransactionOutcome outcome) {
         boolean wasPaused = batch.isPaused(clock.nowMs());
-        List<BatchEvent> events = batch.on(group.id(), outcome, clock.nowMs());
+        List<BatchEvent> events = batch.onOutcome(group.id(), outcome, clock.nowMs());
         if (!wasPaused && batch.isPaused(clock.nowMs())) {
             LOG.warn("claims: table out, {}, {} rows wait", outcome, batch.queuedRows());
         }
         for (BatchEvent e : events) {
-            if (!guests.answer(e)) {
-                tellOne(e.claim(), e.event());
+            if (!peerWrites.respond(e)) {
+                deliverOne(e.claim(), e.event());
             }
         }
-        drive();
+        commitDueGroups();
     }
 
     private void wakeUpAt(long dueMs, long nowMs) {
@@ -294,7 +295,7 @@
 
     private void wakeUp() {
         wakeUpAtMs = Long.MAX_VALUE;
-        drive();
+        commitDueGroups();
     }
 
     private static ReadOutcome<Optional<ClaimRow>> decode(ReadOutcome<Row> read) {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStateMachine.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStateMachine.java
@@ -41,11 +41,11 @@
     private final long deadlineMs;
 
     private Phase phase = Phase.CLAIMING;
-    private ClaimRow wanted;
+    private ClaimRow targetRow;
     private long revision = Row.ABSENT;
     private int ticket;
-    private int tries;
-    private boolean mayHaveLanded;
+    private int attempts;
+    private boolean mayHaveCommitted;
     private long settleUntilMs;
 
     private ClaimStateMachine(
@@ -56,7 +56,7 @@
         this.deadlineMs = deadlineMs;
         checkArgument(claim.status() == ClaimStatus.CLAIMED, "claim starts %s", claim.status());
         sendBeforeMs = Math.min(deadlineMs, nowMs + policy.sendWithinMs());
-        wanted = claim;
+        targetRow = claim;
     }
 
     /** Returns a claim not yet written; {@code deadlineMs} is when its caller gives up. */
@@ -74,20 +74,20 @@
     /** Takes one event and returns what to do, in order. */
     public List<ClaimAction> on(ClaimEvent event, long nowMs) {
         checkNotNull(event, "event");
-        if (phase == Phase.CLOSED || isOutOfDate(event)) {
+        if (phase == Phase.CLOSED || isStale(event)) {
             return ImmutableList.of();
         }
         if (event instanceof ClaimEvent.Committed e) {
-            return committed(e.revision());
+            return onCommitted(e.revision());
         }
         if (event instanceof ClaimEvent.Conflicted e) {
-            return conflicted(e.row(), nowMs);
+            return onConflicted(e.row(), nowMs);
         }
         if (event instanceof ClaimEvent.NotDone e) {
-            return notDone(e.retryAfterMs(), nowMs);
+            return onNotDone(e.retryAfterMs(), nowMs);
         }
         if (event instanceof ClaimEvent.Unknown) {
-            return unknown(nowMs);
+            return onUnknown(nowMs);
         }
         if (event instanceof ClaimEvent.GiveUp) {
             return phase == Phase.CLAIMING ? giveUp(nowMs) : ImmutableList.of();
@@ -99,7 +99,7 @@
     }
 
     /** An answer to an earlier write says nothing about the row as the later one left it. */
-    private boolean isOutOfDate(ClaimEvent event) {
+    private boolean isStale(ClaimEvent event) {
         if (event instanceof ClaimEvent.Committed e) {
             return e.ticket() != ticket;
         }
@@ -112,83 +112,83 @@
         return event instanceof ClaimEvent.Unknown e && e.ticket() != ticket;
     }
 
-    private List<ClaimAction> committed(long newRevision) {
+    private List<ClaimAction> onCommitted(long newRevision) {
         if (phase == Phase.SETTLING) {
             return close();
         }
-        return phase == Phase.CLAIMING ? permit(newRevision) : ImmutableList.of();
+        return phase == Phase.CLAIMING ? grant(newRevision) : ImmutableList.of();
     }
 
-    private List<ClaimAction> permit(long newRevision) {
+    private List<ClaimAction> grant(long newRevision) {
         phase = Phase.PERMITTED;
         revision = newRevision;
         return ImmutableList.of(new ClaimAction.Grant(sendBeforeMs));
     }
 
-    private List<ClaimAction> conflicted(Row row, long nowMs) {
+    private List<ClaimAction> onConflicted(Row row, long nowMs) {
         if (phase == Phase.PERMITTED) {
             return ImmutableList.of();
         }
         if (row.isPresent()) {
             ClaimRow found = ClaimRow.decode(row.value());
             if (found.isFrom(claim.nonce())) {
-                return foundOwn(found, row.revision(), nowMs);
+                return onOwnRow(found, row.revision(), nowMs);
             }
             if (phase == Phase.SETTLING || !found.status().isClaimable()) {
-                return foundOther(found);
+                return onOtherRow(found);
             }
         }
         // Absent or released by another submission: claim it at the revision now known. Against a
         // row that stands, none of the earlier inserts can land any more.
-        mayHaveLanded &= !row.isPresent();
+        mayHaveCommitted &= !row.isPresent();
         revision = row.revision();
-        return again(nowMs);
+        return retryOrEnd(nowMs);
     }
 
     /**
      * An earlier write whose answer was lost did land. In place of a claim it is the permission; in
      * place of a clean-up the row is either as wanted already or the late insert to be replaced.
      */
-    private List<ClaimAction> foundOwn(ClaimRow found, long rowRevision, long nowMs) {
+    private List<ClaimAction> onOwnRow(ClaimRow found, long rowRevision, long nowMs) {
         if (phase == Phase.CLAIMING) {
-            return permit(rowRevision);
+            return grant(rowRevision);
         }
-        if (found.status() == wanted.status()) {
+        if (found.status() == targetRow.status()) {
             return close();
         }
         revision = rowRevision;
-        return again(nowMs);
+        return retryOrEnd(nowMs);
     }
 
-    private List<ClaimAction> foundOther(ClaimRow found) {
-        boolean callerWaits = phase == Phase.CLAIMING;
+    private List<ClaimAction> onOtherRow(ClaimRow found) {
+        boolean isCallerWaiting = phase == Phase.CLAIMING;
         phase = Phase.CLOSED;
-        return callerWaits
+        return isCallerWaiting
                 ? ImmutableList.of(
-                        new ClaimAction.ReportAlreadyClaimed(found), new ClaimAction.Forget())
-                : ImmutableList.of(new ClaimAction.Forget());
+                        new ClaimAction.ReportAlreadyClaimed(found), new ClaimAction.Remove())
+                : ImmutableList.of(new ClaimAction.Remove());
     }
 
-    private List<ClaimAction> notDone(OptionalLong retryAfterMs, long nowMs) {
-        if (phase == Phase.CLAIMING && !mayHaveLanded) {
+    private List<ClaimAction> onNotDone(OptionalLong retryAfterMs, long nowMs) {
+        if (phase == Phase.CLAIMING && !mayHaveCommitted) {
             phase = Phase.CLOSED;
             long advice = retryAfterMs.orElse(policy.retryAfterMs());
             return ImmutableList.of(
                     new ClaimAction.Refuse(unavailable().retryAfterMs(advice)),
-                    new ClaimAction.Forget());
+                    new ClaimAction.Remove());
         }
-        return again(nowMs);
+        return retryOrEnd(nowMs);
     }
 
-    private List<ClaimAction> unknown(long nowMs) {
-        mayHaveLanded = true;
-        return again(nowMs);
+    private List<ClaimAction> onUnknown(long nowMs) {
+        mayHaveCommitted = true;
+        return retryOrEnd(nowMs);
     }
 
-    private List<ClaimAction> again(long nowMs) {
+    private List<ClaimAction> retryOrEnd(long nowMs) {
         if (phase == Phase.CLAIMING) {
-            boolean spent = tries >= policy.maxTries() || nowMs >= deadlineMs;
-            return spent ? giveUp(nowMs) : ImmutableList.of(nextWrite(nowMs));
+            boolean isExhausted = attempts >= policy.maxTries() || nowMs >= deadlineMs;
+            return isExhausted ? giveUp(nowMs) : ImmutableList.of(nextWrite(nowMs));
         }
         // Nobody waits any more. A row left as it is tells others MAY_HAVE_RUN, which is safe.
         return nowMs >= settleUntilMs ? close() : ImmutableList.of(nextWrite(nowMs));
@@ -217,23 +217,23 @@
     private void settle(ClaimRow row, long nowMs) {
         phase = Phase.SETTLING;
         settleUntilMs = nowMs + policy.settleForMs();
-        wanted = row;
-        tries = 0;
+        targetRow = row;
+        attempts = 0;
     }
 
     private List<ClaimAction> close() {
         phase = Phase.CLOSED;
-        return ImmutableList.of(new ClaimAction.Forget());
+        return ImmutableList.of(new ClaimAction.Remove());
     }
 
     private ClaimAction nextWrite(long nowMs) {
         ticket++;
-        tries++;
+        attempts++;
         boolean urgent = phase == Phase.CLAIMING;
-        int doublings = Math.min(tries - 2, MAX_BACKOFF_DOUBLINGS);
-        long delayMs = urgent || tries == 1 ? 0 : policy.settleDelayMs() << doublings;
+        int doublings = Math.min(attempts - 2, MAX_BACKOFF_DOUBLINGS);
+        long delayMs = urgent || attempts == 1 ? 0 : policy.settleDelayMs() << doublings;
         return new ClaimAction.Write(
-                new ClaimWrite(key, ticket, revision, wanted, nowMs + delayMs, urgent));
+                new ClaimWrite(key, ticket, revision, targetRow, nowMs + delayMs, urgent));
     }
 
     private static MasticweirException unavailable() {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
@@ -13,11 +13,11 @@
     DONE(false, Verdict.MAY_HAVE_RUN);
 
     private final boolean claimable;
-    private final Verdict verdictOfLostOwner;
+    private final Verdict verdictWithoutOwner;
 
     ClaimStatus(boolean claimable, Verdict verdictOfLostOwner) {
         this.claimable = claimable;
-        this.verdictOfLostOwner = verdictOfLostOwner;
+        this.verdictWithoutOwner = verdictOfLostOwner;
     }
 
     /** Tells whether another claim may replace this one. */
@@ -26,8 +26,8 @@
     }
 
     /** Returns the most that the row alone says when its owner can't be asked. */
-    Verdict verdictOfLostOwner() {
-        return verdictOfLostOwner;
+    Verdict verdictWithoutOwner() {
+        return verdictWithoutOwner;
     }
 
     String wireName() {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimTaken.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteAccepted.java
@@ -5,8 +5,8 @@
 import org.masticweir.peer.PeerMessage;
 
 /** Tells a claimant that the writer queued its write and will answer. */
-record ClaimTaken(OfferKey offer) implements PeerMessage {
-    ClaimTaken {
-        checkNotNull(offer, "offer");
+record ClaimWriteAccepted(ClaimWriteId id) implements PeerMessage {
+    ClaimWriteAccepted {
+        checkNotNull(id, "id");
     }
 }
--- a/masticweir/src/main/java/org/masticweir/claims/OfferKey.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteId.java
@@ -6,8 +6,8 @@
  * @param claim number of the claim within the claimant
  * @param ticket number of the write within its claim
  */
-record OfferKey(long claim, int ticket) {
-    static OfferKey of(BatchItem item) {
-        return new OfferKey(item.claim(), item.write().ticket());
+record ClaimWriteId(long claim, int ticket) {
+    static ClaimWriteId of(BatchItem item) {
+        return new ClaimWriteId(item.claim(), item.write().ticket());
     }
 }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimOffer.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteRequest.java
@@ -10,27 +10,28 @@
 
 /**
  * Asks a router of the domain to write a claim's row among its own; answered by a {@link
- * ClaimAnswer}.
+ * ClaimWriteResponse}.
  *
  * @param row the claimant's row as it is to stand in the table
  */
-record ClaimOffer(OfferKey offer, String key, long expectedRevision, boolean urgent, String row)
+record ClaimWriteRequest(
+        ClaimWriteId id, String key, long expectedRevision, boolean urgent, String row)
         implements PeerMessage {
     static final int MAX_KEY_BYTES = 1_024;
     static final int MAX_ROW_BYTES = 128 * 1_024;
 
-    ClaimOffer {
-        checkNotNull(offer, "offer");
+    ClaimWriteRequest {
+        checkNotNull(id, "id");
         checkNotNull(key, "key");
         checkNotNull(row, "row");
     }
 
     /** Returns the message for {@code item}, or nothing if it is too long for one. */
-    static Optional<ClaimOffer> of(BatchItem item) {
+    static Optional<ClaimWriteRequest> of(BatchItem item) {
         ClaimWrite w = item.write();
-        ClaimOffer m =
-                new ClaimOffer(
-                        OfferKey.of(item),
+        ClaimWriteRequest m =
+                new ClaimWriteRequest(
+                        ClaimWriteId.of(item),
                         w.key().key(),
                         w.expectedRevision(),
                         w.urgent(),
@@ -55,7 +56,7 @@
         RowKey rowKey = RowKey.of(ClaimRow.TABLE, key);
         return new BatchItem(
                 number,
-                new ClaimWrite(rowKey, offer.ticket(), expectedRevision, decoded, nowMs, urgent));
+                new ClaimWrite(rowKey, id.ticket(), expectedRevision, decoded, nowMs, urgent));
     }
 
     private static int bytes(String text) {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimAnswer.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteResponse.java
@@ -14,7 +14,7 @@
  *     back
  * @param value value of the row that stands instead; empty when absent or not conflicted
  */
-record ClaimAnswer(Kind kind, long number, String value) implements PeerMessage {
+record ClaimWriteResponse(Kind kind, long number, String value) implements PeerMessage {
     /** Outcomes, by their number on the wire; append only. */
     enum Kind {
         /** The write took effect. */
@@ -29,13 +29,13 @@
         OVERLOADED
     }
 
-    ClaimAnswer {
+    ClaimWriteResponse {
         checkNotNull(kind, "kind");
         checkNotNull(value, "value");
     }
 
-    static ClaimAnswer refused(Kind kind, long retryAfterMs) {
-        return new ClaimAnswer(kind, retryAfterMs, "");
+    static ClaimWriteResponse refused(Kind kind, long retryAfterMs) {
+        return new ClaimWriteResponse(kind, retryAfterMs, "");
     }
 
     /**
@@ -43,17 +43,17 @@
      *
      * <p>A row too long for a message is told as unknown: the claimant then asks the table itself.
      */
-    static ClaimAnswer telling(ClaimEvent event) {
+    static ClaimWriteResponse fromEvent(ClaimEvent event) {
         if (event instanceof ClaimEvent.Committed e) {
-            return new ClaimAnswer(Kind.COMMITTED, e.revision(), "");
+            return new ClaimWriteResponse(Kind.COMMITTED, e.revision(), "");
         }
-        if (event instanceof ClaimEvent.Conflicted e && ClaimOffer.fits(e.row().value())) {
-            return new ClaimAnswer(Kind.CONFLICTED, e.row().revision(), e.row().value());
+        if (event instanceof ClaimEvent.Conflicted e && ClaimWriteRequest.fits(e.row().value())) {
+            return new ClaimWriteResponse(Kind.CONFLICTED, e.row().revision(), e.row().value());
         }
         if (event instanceof ClaimEvent.NotDone e) {
             return refused(Kind.NO_TABLE, e.retryAfterMs().orElse(0));
         }
-        return new ClaimAnswer(Kind.UNKNOWN, 0, "");
+        return new ClaimWriteResponse(Kind.UNKNOWN, 0, "");
     }
 
     /** Returns what the claim is told of its write under {@code ticket}. */
--- a/masticweir/src/main/java/org/masticweir/claims/OfferedWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
@@ -23,45 +23,45 @@
  *
  * <p>Not thread-safe: owned by the control thread.
  */
-final class OfferedWrites {
-    private static final Logger LOG = LogManager.getLogger(OfferedWrites.class);
+final class DelegatedWrites {
+    private static final Logger LOG = LogManager.getLogger(DelegatedWrites.class);
 
-    private final ClaimSharing sharing;
+    private final WriteDelegation delegation;
     private final SharedWriteLimits limits;
     private final WriterLinks links;
     private final Supplier<? extends Collection<RouterId>> serving;
     private final ScheduledExecutorService control;
     private final Clock clock;
-    private final BooleanSupplier tableOutHere;
-    private final Consumer<SharingAction> actions;
+    private final BooleanSupplier isTableOutHere;
+    private final Consumer<DelegationAction> actions;
     private Optional<RouterId> lastWriter = Optional.empty();
 
-    OfferedWrites(
-            ClaimSharing sharing,
+    DelegatedWrites(
+            WriteDelegation delegation,
             SharedWriteLimits limits,
             WriterLinks links,
             Supplier<? extends Collection<RouterId>> serving,
             ScheduledExecutorService control,
             Clock clock,
-            BooleanSupplier tableOutHere,
-            Consumer<SharingAction> actions) {
-        this.sharing = checkNotNull(sharing, "sharing");
+            BooleanSupplier isTableOutHere,
+            Consumer<DelegationAction> actions) {
+        this.delegation = checkNotNull(delegation, "delegation");
         this.limits = checkNotNull(limits, "limits");
         this.links = checkNotNull(links, "links");
         this.serving = checkNotNull(serving, "serving");
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
-        this.tableOutHere = checkNotNull(tableOutHere, "tableOutHere");
+        this.isTableOutHere = checkNotNull(isTableOutHere, "isTableOutHere");
         this.actions = checkNotNull(actions, "actions");
     }
 
     /**
      * Offers {@code item} to a writer, now or when it may start; false if it is to be written here.
      */
-    boolean offer(BatchItem item) {
+    boolean delegate(BatchItem item) {
         long now = clock.nowMs();
-        Optional<RouterId> writer = sharing.writerFor(item.write(), serving.get(), now);
-        note(writer);
+        Optional<RouterId> writer = delegation.writerFor(item.write(), serving.get(), now);
+        logWriterChange(writer);
         if (writer.isEmpty()) {
             return false;
         }
@@ -69,47 +69,47 @@
         if (delayMs <= 0) {
             return send(item, writer.get(), now);
         }
-        control.schedule(() -> offerLater(item), delayMs, TimeUnit.MILLISECONDS);
+        control.schedule(() -> delegateDelayed(item), delayMs, TimeUnit.MILLISECONDS);
         return true;
     }
 
     /** Takes a writer's word that it queued a write. */
-    void taken(OfferKey key) {
-        sharing.taken(key, clock.nowMs());
-        lookAfter(key, limits.outcomeWaitMs());
+    void onAccepted(ClaimWriteId key) {
+        delegation.markAccepted(key, clock.nowMs());
+        scheduleExpiry(key, limits.outcomeWaitMs());
     }
 
     /** Tells {@code claimant} that this router queued its write. */
-    void tellTaken(RouterId claimant, OfferKey key) {
-        links.taken(claimant, new ClaimTaken(key));
+    void sendAccepted(RouterId claimant, ClaimWriteId key) {
+        links.sendAccepted(claimant, new ClaimWriteAccepted(key));
     }
 
-    private void offerLater(BatchItem item) {
-        if (!offer(item)) {
-            actions.accept(new SharingAction.WriteHere(item));
+    private void delegateDelayed(BatchItem item) {
+        if (!delegate(item)) {
+            actions.accept(new DelegationAction.WriteLocally(item));
         }
     }
 
     private boolean send(BatchItem item, RouterId writer, long nowMs) {
-        Optional<ClaimOffer> message = ClaimOffer.of(item);
+        Optional<ClaimWriteRequest> message = ClaimWriteRequest.of(item);
         if (message.isEmpty()) {
             return false;
         }
-        OfferKey key = sharing.offered(item, writer, nowMs);
-        lookAfter(key, limits.takeWaitMs());
-        links.offer(writer, message.get(), limits.takeWaitMs() + limits.outcomeWaitMs())
-                .whenCompleteAsync((answer, error) -> ended(key, answer, error), control);
+        ClaimWriteId key = delegation.addPending(item, writer, nowMs);
+        scheduleExpiry(key, limits.acceptWaitMs());
+        links.sendWrite(writer, message.get(), limits.acceptWaitMs() + limits.outcomeWaitMs())
+                .whenCompleteAsync((response, error) -> onResponse(key, response, error), control);
         return true;
     }
 
-    private void ended(OfferKey key, ClaimAnswer answer, Throwable error) {
+    private void onResponse(ClaimWriteId key, ClaimWriteResponse response, Throwable error) {
         long now = clock.nowMs();
         if (error == null) {
-            act(sharing.answered(key, answer, tableOutHere.getAsBoolean(), now));
+            applyAll(delegation.onResponse(key, response, isTableOutHere.getAsBoolean(), now));
         } else if (isNotRun(error)) {
-            act(sharing.notSent(key, now));
+            applyAll(delegation.onNotSent(key, now));
         } else {
-            act(sharing.lost(key, now));
+            applyAll(delegation.onLinkLost(key, now));
         }
     }
 
@@ -118,15 +118,16 @@
         return cause instanceof MasticweirException e && e.verdict() == Verdict.NOT_RUN;
     }
 
-    private void lookAfter(OfferKey key, long ms) {
-        control.schedule(() -> act(sharing.overdue(key, clock.nowMs())), ms, TimeUnit.MILLISECONDS);
+    private void scheduleExpiry(ClaimWriteId key, long ms) {
+        control.schedule(
+                () -> applyAll(delegation.expire(key, clock.nowMs())), ms, TimeUnit.MILLISECONDS);
     }
 
-    private void act(List<SharingAction> todo) {
+    private void applyAll(List<DelegationAction> todo) {
         todo.forEach(actions);
     }
 
-    private void note(Optional<RouterId> writer) {
+    private void logWriterChange(Optional<RouterId> writer) {
         if (!writer.equals(lastWriter)) {
             lastWriter = writer;
             LOG.info("claims: written by {}", writer.map(RouterId::value).orElse("this router"));
--- a/masticweir/src/main/java/org/masticweir/claims/PeerWriterLinks.java
+++ b/masticweir/src/main/java/org/masticweir/claims/PeerWriterLinks.java
@@ -15,12 +15,13 @@
     }
 
     @Override
-    public CompletableFuture<ClaimAnswer> offer(RouterId writer, ClaimOffer offer, long timeoutMs) {
-        return links.ask(writer, offer, timeoutMs).thenApply(ClaimAnswer.class::cast);
+    public CompletableFuture<ClaimWriteResponse> sendWrite(
+            RouterId writer, ClaimWriteRequest request, long timeoutMs) {
+        return links.ask(writer, request, timeoutMs).thenApply(ClaimWriteResponse.class::cast);
     }
 
     @Override
-    public void taken(RouterId claimant, ClaimTaken message) {
+    public void sendAccepted(RouterId claimant, ClaimWriteAccepted message) {
         links.send(claimant, message);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/claims/GuestWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/PeerWrites.java
@@ -17,34 +17,34 @@
  * or write for itself. Nothing is kept for a claimant that no longer waits: a late write fails its
  * check. Not thread-safe: owned by the control thread.
  */
-final class GuestWrites {
-    private final ClaimBatch batch;
+final class PeerWrites {
+    private final ClaimBatcher batch;
     private final Clock clock;
     private final Map<Long, Reply> replies = new HashMap<>();
     private long lastNumber;
 
-    GuestWrites(ClaimBatch batch, Clock clock) {
+    PeerWrites(ClaimBatcher batch, Clock clock) {
         this.batch = checkNotNull(batch, "batch");
         this.clock = checkNotNull(clock, "clock");
     }
 
     /** Queues the write and returns true, or answers why not. */
-    boolean take(ClaimOffer offer, Reply reply) {
+    boolean accept(ClaimWriteRequest request, Reply reply) {
         long now = clock.nowMs();
         if (batch.isPaused(now)) {
-            reply.send(ClaimAnswer.refused(ClaimAnswer.Kind.NO_TABLE, 0));
+            reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.NO_TABLE, 0));
             return false;
         }
-        long aheadMs = batch.urgentAheadMs();
+        long aheadMs = batch.urgentQueueMs();
         if (aheadMs > SharedWriteLimits.MAX_QUEUE_MS) {
-            reply.send(ClaimAnswer.refused(ClaimAnswer.Kind.OVERLOADED, aheadMs));
+            reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.OVERLOADED, aheadMs));
             return false;
         }
         // Numbers of guests are below zero, so that they never meet those of own claims.
         long number = lastNumber - 1;
         BatchItem item;
         try {
-            item = offer.toItem(number, now);
+            item = request.toItem(number, now);
         } catch (IllegalArgumentException e) {
             reply.fail(MasticweirException.notRun(ErrorCode.INTERNAL, "claim not readable"));
             return false;
@@ -52,7 +52,7 @@
         OptionalLong refused = batch.offer(item, now);
         if (refused.isPresent()) {
             long afterMs = refused.getAsLong();
-            reply.send(ClaimAnswer.refused(ClaimAnswer.Kind.OVERLOADED, afterMs));
+            reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.OVERLOADED, afterMs));
             return false;
         }
         lastNumber = number;
@@ -61,12 +61,12 @@
     }
 
     /** Passes on the outcome of a guest's write; returns false if it is not a guest's. */
-    boolean answer(BatchEvent event) {
+    boolean respond(BatchEvent event) {
         Reply reply = replies.remove(event.claim());
         if (reply == null) {
             return false;
         }
-        reply.send(ClaimAnswer.telling(event.event()));
+        reply.send(ClaimWriteResponse.fromEvent(event.event()));
         return true;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimSharing.java
+++ b/masticweir/src/main/java/org/masticweir/claims/WriteDelegation.java
@@ -22,29 +22,29 @@
  *
  * <p>Not thread-safe: owned by the control thread.
  */
-final class ClaimSharing {
+final class WriteDelegation {
     /** All routers rank each other by this key, so that they agree on a writer. */
     private static final String RANKED_BY = "claims";
 
     private static final int MAX_DOUBLINGS = 3;
 
     /** A write that a writer has, whether it said so, and until when it is waited for. */
-    private record Waiting(BatchItem item, RouterId writer, boolean taken, long untilMs) {
+    private record PendingWrite(BatchItem item, RouterId writer, boolean isAccepted, long untilMs) {
         /** A row without a caller waits at a busy writer; that says nothing against the writer. */
-        boolean isLateByLoad() {
-            return taken && !item.write().urgent();
+        boolean isDelayedByLoad() {
+            return isAccepted && !item.write().urgent();
         }
     }
 
     /** A writer that failed, and until when it is left out. */
-    private record Avoided(long untilMs, int failures) {}
+    private record ExcludedWriter(long untilMs, int failures) {}
 
     private final RouterId self;
     private final SharedWriteLimits limits;
-    private final Map<OfferKey, Waiting> waiting = new HashMap<>();
-    private final Map<RouterId, Avoided> avoided = new HashMap<>();
+    private final Map<ClaimWriteId, PendingWrite> pending = new HashMap<>();
+    private final Map<RouterId, ExcludedWriter> excluded = new HashMap<>();
 
-    ClaimSharing(RouterId self, SharedWriteLimits limits) {
+    WriteDelegation(RouterId self, SharedWriteLimits limits) {
         this.self = checkNotNull(self, "self");
         this.limits = checkNotNull(limits, "limits");
     }
@@ -62,66 +62,67 @@
         if (serving.size() <= limits.shareAbove() || isRepeat) {
             return Optional.empty();
         }
-        avoided.keySet().retainAll(serving);
+        excluded.keySet().retainAll(serving);
         return serving.stream()
-                .filter(r -> !isAvoided(r, nowMs))
+                .filter(r -> !isExcluded(r, nowMs))
                 .max(comparingLong(r -> Rendezvous.weight(RANKED_BY, r)))
                 .filter(r -> !r.equals(self));
     }
 
     /** Takes note that {@code item} was sent to {@code writer}. */
-    OfferKey offered(BatchItem item, RouterId writer, long nowMs) {
-        OfferKey key = OfferKey.of(item);
-        waiting.put(key, new Waiting(item, writer, false, nowMs + limits.takeWaitMs()));
+    ClaimWriteId addPending(BatchItem item, RouterId writer, long nowMs) {
+        ClaimWriteId key = ClaimWriteId.of(item);
+        pending.put(key, new PendingWrite(item, writer, false, nowMs + limits.acceptWaitMs()));
         return key;
     }
 
     /** Takes the writer's word that it queued the write. */
-    void taken(OfferKey key, long nowMs) {
-        waiting.computeIfPresent(
-                key, (k, w) -> new Waiting(w.item, w.writer, true, nowMs + limits.outcomeWaitMs()));
+    void markAccepted(ClaimWriteId key, long nowMs) {
+        pending.computeIfPresent(
+                key,
+                (k, w) -> new PendingWrite(w.item, w.writer, true, nowMs + limits.outcomeWaitMs()));
     }
 
     /**
      * Takes the writer's answer.
      *
-     * @param tableOutHere whether this router does not reach the table either, so that the writer
+     * @param isTableOutHere whether this router does not reach the table either, so that the writer
      *     is not to blame
      */
-    List<SharingAction> answered(
-            OfferKey key, ClaimAnswer answer, boolean tableOutHere, long nowMs) {
-        Waiting w = waiting.remove(key);
+    List<DelegationAction> onResponse(
+            ClaimWriteId key, ClaimWriteResponse response, boolean isTableOutHere, long nowMs) {
+        PendingWrite w = pending.remove(key);
         if (w == null) {
             return ImmutableList.of();
         }
-        boolean reachedTable = true;
-        switch (answer.kind()) {
-            case COMMITTED, CONFLICTED -> avoided.remove(w.writer);
-            case UNKNOWN, NO_TABLE -> reachedTable = false;
+        boolean hasReachedTable = true;
+        switch (response.kind()) {
+            case COMMITTED, CONFLICTED -> excluded.remove(w.writer);
+            case UNKNOWN, NO_TABLE -> hasReachedTable = false;
             default -> {}
         }
-        SharingAction outcome =
-                answer.kind() == ClaimAnswer.Kind.NO_TABLE
-                        ? new SharingAction.WriteHere(w.item)
-                        : tell(w, answer.toEvent(key.ticket(), w.item.write().key()));
-        return reachedTable || tableOutHere
+        DelegationAction outcome =
+                response.kind() == ClaimWriteResponse.Kind.NO_TABLE
+                        ? new DelegationAction.WriteLocally(w.item)
+                        : report(w, response.toEvent(key.ticket(), w.item.write().key()));
+        return hasReachedTable || isTableOutHere
                 ? ImmutableList.of(outcome)
-                : leaving(w.writer, outcome, nowMs);
+                : excludeWriter(w.writer, outcome, nowMs);
     }
 
     /** Takes note that the offer never reached the writer, or was not understood there. */
-    List<SharingAction> notSent(OfferKey key, long nowMs) {
-        Waiting w = waiting.remove(key);
+    List<DelegationAction> onNotSent(ClaimWriteId key, long nowMs) {
+        PendingWrite w = pending.remove(key);
         if (w == null) {
             return ImmutableList.of();
         }
-        return leaving(w.writer, new SharingAction.WriteHere(w.item), nowMs);
+        return excludeWriter(w.writer, new DelegationAction.WriteLocally(w.item), nowMs);
     }
 
     /** Takes note that the link to the writer was lost, with the write in doubt. */
-    List<SharingAction> lost(OfferKey key, long nowMs) {
-        Waiting w = waiting.remove(key);
-        return w == null ? ImmutableList.of() : leaving(w.writer, inDoubt(w), nowMs);
+    List<DelegationAction> onLinkLost(ClaimWriteId key, long nowMs) {
+        PendingWrite w = pending.remove(key);
+        return w == null ? ImmutableList.of() : excludeWriter(w.writer, reportUnknown(w), nowMs);
     }
 
     /**
@@ -131,19 +132,19 @@
      * shows as no word within the bound. The write is then in doubt as after a lost answer of the
      * table, and the claim writes it again with the same nonce.
      */
-    List<SharingAction> overdue(OfferKey key, long nowMs) {
-        Waiting w = waiting.get(key);
+    List<DelegationAction> expire(ClaimWriteId key, long nowMs) {
+        PendingWrite w = pending.get(key);
         if (w == null || nowMs < w.untilMs) {
             return ImmutableList.of();
         }
-        waiting.remove(key);
-        return w.isLateByLoad()
-                ? ImmutableList.of(inDoubt(w))
-                : leaving(w.writer, inDoubt(w), nowMs);
+        pending.remove(key);
+        return w.isDelayedByLoad()
+                ? ImmutableList.of(reportUnknown(w))
+                : excludeWriter(w.writer, reportUnknown(w), nowMs);
     }
 
-    boolean isAvoided(RouterId writer, long nowMs) {
-        Avoided a = avoided.get(writer);
+    boolean isExcluded(RouterId writer, long nowMs) {
+        ExcludedWriter a = excluded.get(writer);
         return a != null && nowMs < a.untilMs;
     }
 
@@ -154,34 +155,35 @@
      * after 500 ms and has others in its queue, whose callers would wait for as long again. They
      * are in doubt now; a write too many does no harm.
      */
-    private List<SharingAction> leaving(RouterId writer, SharingAction first, long nowMs) {
-        avoid(writer, nowMs);
-        ImmutableList.Builder<SharingAction> actions = ImmutableList.builder();
+    private List<DelegationAction> excludeWriter(
+            RouterId writer, DelegationAction first, long nowMs) {
+        exclude(writer, nowMs);
+        ImmutableList.Builder<DelegationAction> actions = ImmutableList.builder();
         actions.add(first);
-        for (Waiting w : ImmutableList.copyOf(waiting.values())) {
+        for (PendingWrite w : ImmutableList.copyOf(pending.values())) {
             if (w.writer.equals(writer) && w.item.write().urgent()) {
-                waiting.remove(OfferKey.of(w.item));
-                actions.add(inDoubt(w));
+                pending.remove(ClaimWriteId.of(w.item));
+                actions.add(reportUnknown(w));
             }
         }
         return actions.build();
     }
 
-    private static SharingAction inDoubt(Waiting w) {
-        return tell(w, new ClaimEvent.Unknown(w.item.write().ticket()));
+    private static DelegationAction reportUnknown(PendingWrite w) {
+        return report(w, new ClaimEvent.Unknown(w.item.write().ticket()));
     }
 
-    private static SharingAction tell(Waiting w, ClaimEvent event) {
-        return new SharingAction.Tell(new BatchEvent(w.item.claim(), event));
+    private static DelegationAction report(PendingWrite w, ClaimEvent event) {
+        return new DelegationAction.Report(new BatchEvent(w.item.claim(), event));
     }
 
     /** Many writes of one failure count once: only the first finds the writer not left out. */
-    private void avoid(RouterId writer, long nowMs) {
-        if (isAvoided(writer, nowMs)) {
+    private void exclude(RouterId writer, long nowMs) {
+        if (isExcluded(writer, nowMs)) {
             return;
         }
-        int failures = avoided.containsKey(writer) ? avoided.get(writer).failures : 0;
-        long forMs = limits.avoidMs() << Math.min(failures, MAX_DOUBLINGS);
-        avoided.put(writer, new Avoided(nowMs + forMs, failures + 1));
+        int failures = excluded.containsKey(writer) ? excluded.get(writer).failures : 0;
+        long forMs = limits.excludeMs() << Math.min(failures, MAX_DOUBLINGS);
+        excluded.put(writer, new ExcludedWriter(nowMs + forMs, failures + 1));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/claims/WriterLinks.java
+++ b/masticweir/src/main/java/org/masticweir/claims/WriterLinks.java
@@ -11,8 +11,9 @@
      * <p>The future fails with a {@link org.masticweir.error.MasticweirException}, whose verdict is
      * not run if the writer certainly has not queued the write.
      */
-    CompletableFuture<ClaimAnswer> offer(RouterId writer, ClaimOffer offer, long timeoutMs);
+    CompletableFuture<ClaimWriteResponse> sendWrite(
+            RouterId writer, ClaimWriteRequest request, long timeoutMs);
 
     /** Tells {@code claimant} that its write was queued; a best effort. */
-    void taken(RouterId claimant, ClaimTaken message);
+    void sendAccepted(RouterId claimant, ClaimWriteAccepted message);
 }
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimDomain.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimDomain.java
@@ -28,7 +28,7 @@
 final class ClaimDomain {
     static final long TABLE_ONE_WAY_MS = 2;
     private static final long HOP_MS = 1;
-    private static final long PATIENCE_MS = 3_000;
+    private static final long CALLER_TIMEOUT_MS = 3_000;
     private static final TeamId TEAM = TeamId.of("t");
 
     private final ManualScheduler scheduler = new ManualScheduler();
@@ -39,7 +39,7 @@
     private final List<ClaimDecision> decisions = new ArrayList<>();
     private long transactions;
     private long tableOneWayMs = TABLE_ONE_WAY_MS;
-    private boolean tableOut;
+    private boolean isTableOut;
 
     /** How a router is, as the others meet it. */
     enum Fault {
@@ -69,7 +69,7 @@
         private final ClaimService claims;
         private final List<Runnable> held = new ArrayList<>();
         private Fault fault = Fault.NONE;
-        private int offersTaken;
+        private int receivedWrites;
 
         private Router(RouterId id, SharedWriteLimits limits) {
             this.id = id;
@@ -80,18 +80,18 @@
                             scheduler,
                             scheduler.clock(),
                             ClaimServiceSettings.defaults());
-            claims.share(this, () -> serving, limits);
+            claims.shareWrites(this, () -> serving, limits);
         }
 
         RouterId id() {
             return id;
         }
 
-        boolean isWell() {
+        boolean isHealthy() {
             return fault == Fault.NONE;
         }
 
-        void become(Fault now) {
+        void setFault(Fault now) {
             fault = now;
             if (now == Fault.NONE) {
                 held.forEach(r -> scheduler.at(now(), r));
@@ -100,62 +100,67 @@
         }
 
         @Override
-        public CompletableFuture<ClaimAnswer> offer(RouterId to, ClaimOffer m, long timeoutMs) {
-            CompletableFuture<ClaimAnswer> answer = new CompletableFuture<>();
+        public CompletableFuture<ClaimWriteResponse> sendWrite(
+                RouterId to, ClaimWriteRequest m, long timeoutMs) {
+            CompletableFuture<ClaimWriteResponse> response = new CompletableFuture<>();
             Router writer = routers.get(to);
             if (writer.fault == Fault.KILLED) {
-                answer.completeExceptionally(
+                response.completeExceptionally(
                         MasticweirException.notRun(ErrorCode.NOT_FOUND, "link in backoff"));
-                return answer;
+                return response;
             }
-            scheduler.at(now() + HOP_MS, () -> writer.arrive(id, m, answer));
-            scheduler.at(now() + timeoutMs, () -> answer.completeExceptionally(doubt()));
-            return answer;
+            scheduler.at(now() + HOP_MS, () -> writer.arrive(id, m, response));
+            scheduler.at(now() + timeoutMs, () -> response.completeExceptionally(unknownOutcome()));
+            return response;
         }
 
-        private void arrive(RouterId from, ClaimOffer m, CompletableFuture<ClaimAnswer> answer) {
+        private void arrive(
+                RouterId from,
+                ClaimWriteRequest m,
+                CompletableFuture<ClaimWriteResponse> response) {
             if (fault == Fault.PAUSED) {
-                held.add(() -> arrive(from, m, answer));
+                held.add(() -> arrive(from, m, response));
             } else if (fault == Fault.KILLED) {
-                answer.completeExceptionally(doubt());
+                response.completeExceptionally(unknownOutcome());
             } else {
-                offersTaken++;
-                claims.takeGuest(from, m, new Answering(answer));
+                receivedWrites++;
+                claims.acceptPeerWrite(from, m, new LinkReply(response));
             }
         }
 
         @Override
-        public void taken(RouterId claimant, ClaimTaken m) {
-            scheduler.at(now() + HOP_MS, () -> routers.get(claimant).claims.taken(m));
+        public void sendAccepted(RouterId claimant, ClaimWriteAccepted m) {
+            scheduler.at(now() + HOP_MS, () -> routers.get(claimant).claims.onAccepted(m));
         }
 
         @Override
         public CompletableFuture<TransactionOutcome> transact(Transaction t, long timeoutMs) {
-            CompletableFuture<TransactionOutcome> answer = new CompletableFuture<>();
+            CompletableFuture<TransactionOutcome> response = new CompletableFuture<>();
             transactions++;
-            if (tableOut || fault == Fault.TABLE_REFUSED) {
-                answer.complete(TransactionOutcome.NotDone.because("refused"));
-                return answer;
+            if (isTableOut || fault == Fault.TABLE_REFUSED) {
+                response.complete(TransactionOutcome.NotDone.because("refused"));
+                return response;
             }
             if (fault != Fault.TABLE_SILENT) {
-                scheduler.at(now() + tableOneWayMs, () -> arriveAtTable(t, answer));
+                scheduler.at(now() + tableOneWayMs, () -> arriveAtTable(t, response));
             }
             scheduler.at(
                     now() + timeoutMs,
-                    () -> answer.complete(new TransactionOutcome.Unknown("no answer")));
-            return answer;
+                    () -> response.complete(new TransactionOutcome.Unknown("no answer")));
+            return response;
         }
 
-        private void arriveAtTable(Transaction t, CompletableFuture<TransactionOutcome> answer) {
+        private void arriveAtTable(Transaction t, CompletableFuture<TransactionOutcome> response) {
             TransactionOutcome outcome = table.apply(t);
-            scheduler.at(now() + tableOneWayMs, () -> back(answer, outcome));
+            scheduler.at(now() + tableOneWayMs, () -> deliverOutcome(response, outcome));
         }
 
-        private void back(CompletableFuture<TransactionOutcome> answer, TransactionOutcome o) {
+        private void deliverOutcome(
+                CompletableFuture<TransactionOutcome> response, TransactionOutcome o) {
             if (fault == Fault.PAUSED) {
-                held.add(() -> answer.complete(o));
+                held.add(() -> response.complete(o));
             } else if (fault != Fault.KILLED) {
-                answer.complete(o);
+                response.complete(o);
             }
         }
 
@@ -172,27 +177,27 @@
     }
 
     /** Carries one answer back over the link. */
-    private final class Answering implements Reply {
-        private final CompletableFuture<ClaimAnswer> answer;
+    private final class LinkReply implements Reply {
+        private final CompletableFuture<ClaimWriteResponse> response;
 
-        private Answering(CompletableFuture<ClaimAnswer> answer) {
-            this.answer = answer;
+        private LinkReply(CompletableFuture<ClaimWriteResponse> response) {
+            this.response = response;
         }
 
         @Override
         public boolean send(PeerMessage m) {
-            scheduler.at(now() + HOP_MS, () -> answer.complete((ClaimAnswer) m));
+            scheduler.at(now() + HOP_MS, () -> response.complete((ClaimWriteResponse) m));
             return true;
         }
 
         @Override
         public boolean fail(MasticweirException error) {
-            scheduler.at(now() + HOP_MS, () -> answer.completeExceptionally(error));
+            scheduler.at(now() + HOP_MS, () -> response.completeExceptionally(error));
             return true;
         }
     }
 
-    private static MasticweirException doubt() {
+    private static MasticweirException unknownOutcome() {
         return MasticweirException.of(ErrorCode.INTERNAL, Verdict.MAY_HAVE_RUN, "no answer");
     }
 
@@ -204,11 +209,11 @@
         scheduler.runTo(ms);
     }
 
-    void tableOut(boolean out) {
-        tableOut = out;
+    void setTableOut(boolean out) {
+        isTableOut = out;
     }
 
-    void tableDelay(long oneWayMs) {
+    void setTableDelay(long oneWayMs) {
         tableOneWayMs = oneWayMs;
     }
 
@@ -231,7 +236,7 @@
     /** Returns the router that most offers went to. */
     Router writer() {
         return routers.values().stream()
-                .max((a, b) -> Integer.compare(a.offersTaken, b.offersTaken))
+                .max((a, b) -> Integer.compare(a.receivedWrites, b.receivedWrites))
                 .orElseThrow();
     }
 
@@ -241,11 +246,11 @@
     void claim(Router router, String key, long runMs) {
         long startMs = now();
         router.claims
-                .claim(TEAM, RequestId.of(key), startMs + PATIENCE_MS)
-                .thenAccept(d -> decided(router, d, startMs, runMs));
+                .claim(TEAM, RequestId.of(key), startMs + CALLER_TIMEOUT_MS)
+                .thenAccept(d -> onDecision(router, d, startMs, runMs));
     }
 
-    private void decided(Router router, ClaimDecision d, long startMs, long runMs) {
+    private void onDecision(Router router, ClaimDecision d, long startMs, long runMs) {
         waits.add(now() - startMs);
         decisions.add(d);
         if (d instanceof ClaimDecision.Granted may) {
@@ -260,7 +265,7 @@
     }
 
     /** Forgets what was counted so far. */
-    void countAnew() {
+    void resetCounts() {
         waits.clear();
         decisions.clear();
         transactions = 0;
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimMessageCodecsTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimMessageCodecsTest.java
@@ -32,7 +32,7 @@
     }
 
     @SuppressWarnings("unchecked") // The codec is looked up by the message's own class.
-    private static <T extends PeerMessage> int assertSurvives(T message) throws IOException {
+    private static <T extends PeerMessage> int assertRoundTrip(T message) throws IOException {
         for (MessageCodec<?> any : ClaimMessageCodecs.all()) {
             if (any.messageType().equals(message.getClass())) {
                 MessageCodec<T> codec = (MessageCodec<T>) any;
@@ -47,28 +47,32 @@
     }
 
     @Test
-    void messagesSurviveTheWire() throws IOException {
-        ClaimOffer offer = ClaimOffer.of(item(ROW)).orElseThrow();
-        ClaimOffer end = ClaimOffer.of(item(ROW.done(Verdict.COMPLETED, ""))).orElseThrow();
-        int taken = assertSurvives(new ClaimTaken(offer.offer()));
-        int answer = assertSurvives(ClaimAnswer.telling(new ClaimEvent.Committed(1, 1L << 32)));
+    void messagesRoundTrip() throws IOException {
+        ClaimWriteRequest request = ClaimWriteRequest.of(item(ROW)).orElseThrow();
+        ClaimWriteRequest end =
+                ClaimWriteRequest.of(item(ROW.done(Verdict.COMPLETED, ""))).orElseThrow();
+        int accepted = assertRoundTrip(new ClaimWriteAccepted(request.id()));
+        int response =
+                assertRoundTrip(
+                        ClaimWriteResponse.fromEvent(new ClaimEvent.Committed(1, 1L << 32)));
         System.out.printf(
-                "claims: offer %d bytes, end without answer %d, taken %d, answer %d, no headers%n",
-                assertSurvives(offer), assertSurvives(end), taken, answer);
-        assertEquals(item(ROW), offer.toItem(7, 0));
+                "claims: write request %d bytes, end without result %d, accepted %d, response %d, no headers%n",
+                assertRoundTrip(request), assertRoundTrip(end), accepted, response);
+        assertEquals(item(ROW), request.toItem(7, 0));
     }
 
     @Test
-    void answersTellTheOutcome() {
+    void responsesCarryTheOutcome() {
         Row stands = Row.of(KEY, 5, ROW.encode());
         ClaimEvent conflict = new ClaimEvent.Conflicted(2, stands);
-        assertEquals(conflict, ClaimAnswer.telling(conflict).toEvent(2, KEY));
+        assertEquals(conflict, ClaimWriteResponse.fromEvent(conflict).toEvent(2, KEY));
         ClaimEvent refusal = new ClaimEvent.NotDone(2, OptionalLong.of(40));
-        assertEquals(refusal, ClaimAnswer.telling(refusal).toEvent(2, KEY));
-        Row tooLong = Row.of(KEY, 5, Strings.repeat("x", ClaimOffer.MAX_ROW_BYTES + 1));
+        assertEquals(refusal, ClaimWriteResponse.fromEvent(refusal).toEvent(2, KEY));
+        Row tooLong = Row.of(KEY, 5, Strings.repeat("x", ClaimWriteRequest.MAX_ROW_BYTES + 1));
         assertEquals(
                 new ClaimEvent.Unknown(2),
-                ClaimAnswer.telling(new ClaimEvent.Conflicted(2, tooLong)).toEvent(2, KEY));
+                ClaimWriteResponse.fromEvent(new ClaimEvent.Conflicted(2, tooLong))
+                        .toEvent(2, KEY));
     }
 
     /**
@@ -78,8 +82,9 @@
     @Test
     void rowOfAnotherVersionIsNotWritten() {
         String newer = ROW.encode().replace("{", "{\"added\":1,");
-        ClaimOffer offer = new ClaimOffer(new OfferKey(7, 1), KEY.key(), 0, true, newer);
-        assertThrows(IllegalArgumentException.class, () -> offer.toItem(7, 0));
-        assertTrue(ClaimOffer.fits(newer));
+        ClaimWriteRequest request =
+                new ClaimWriteRequest(new ClaimWriteId(7, 1), KEY.key(), 0, true, newer);
+        assertThrows(IllegalArgumentException.class, () -> request.toItem(7, 0));
+        assertTrue(ClaimWriteRequest.fits(newer));
     }
 }
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
@@ -26,7 +26,7 @@
     void runsAtMostOnceAndNotRunIsTrue(@ForAll long seed) {
         ClaimWorld world = new ClaimWorld(seed, false).run(STEPS);
         assertTrue(world.mostRunsOfOneRequest() <= 1, "a request ran twice");
-        assertTrue(world.notRunNeverRan(), "told not run, yet it ran");
+        assertTrue(world.notRunNeverRan(), "reported as not run, but ran");
     }
 
     /**
@@ -36,33 +36,33 @@
      * an answer to another write that passes for a permission.
      */
     @Property(seed = "11", tries = 4_000, shrinking = ShrinkingMode.OFF)
-    void runsAtMostOnceByWayOfWriters(@ForAll long seed) {
+    void runsAtMostOnceWithDelegatedWrites(@ForAll long seed) {
         ClaimWorld world = ClaimWorld.sharing(seed).run(3 * STEPS);
         assertTrue(world.mostRunsOfOneRequest() <= 1, "a request ran twice");
-        assertTrue(world.notRunNeverRan(), "told not run, yet it ran");
+        assertTrue(world.notRunNeverRan(), "reported as not run, but ran");
     }
 
     /** The world above is hard enough: all verdicts occur, and the plain policy fails in it. */
     @Example
     void trustingWritersRunsTwice() {
         int failures = 0;
-        long answers = 0;
+        long responses = 0;
         long runs = 0;
         long refused = 0;
         for (int seed = 0; seed < 200; seed++) {
             ClaimWorld plain = ClaimWorld.trustingWriters(seed).run(3 * STEPS);
             failures += plain.mostRunsOfOneRequest() > 1 ? 1 : 0;
             ClaimWorld world = ClaimWorld.sharing(seed).run(3 * STEPS);
-            answers += world.answersOfWriters();
+            responses += world.writerResponses();
             runs += world.runs();
-            refused += world.told(Verdict.NOT_RUN);
+            refused += world.countVerdicts(Verdict.NOT_RUN);
         }
         System.out.printf(
-                "claims: 200 worlds with writers: %d answers, %d runs, %d not run; plain policy"
+                "claims: 200 worlds with writers: %d responses, %d runs, %d not run; plain policy"
                         + " ran twice in %d%n",
-                answers, runs, refused, failures);
+                responses, runs, refused, failures);
         assertTrue(failures > 20, "trusting writers failed in only " + failures + " of 200");
-        assertTrue(answers > 1_000, "answers " + answers);
+        assertTrue(responses > 1_000, "responses " + responses);
         assertTrue(runs > 100 && refused > 100, runs + " runs, " + refused);
     }
 
@@ -75,8 +75,8 @@
         for (int seed = 0; seed < 200; seed++) {
             failures += new ClaimWorld(seed, true).run(STEPS).mostRunsOfOneRequest() > 1 ? 1 : 0;
             ClaimWorld world = new ClaimWorld(seed, false).run(STEPS);
-            completed += world.told(Verdict.COMPLETED);
-            refused += world.told(Verdict.NOT_RUN);
+            completed += world.countVerdicts(Verdict.COMPLETED);
+            refused += world.countVerdicts(Verdict.NOT_RUN);
         }
         assertTrue(failures > 20, "send, then claim failed in only " + failures + " of 200");
         assertTrue(completed > 100 && refused > 100, completed + " completed, " + refused);
@@ -84,7 +84,7 @@
 
     /** Without faults a claim permits its send at the first answer. */
     @Example
-    void claimThatIsAloneRuns() {
+    void claimWithoutFaultsIsGranted() {
         ClaimPolicy policy = ClaimPolicy.defaults();
         ClaimRow row = ClaimRow.claimed("n", RouterId.of("a"), 0);
         ClaimStateMachine state =
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimServiceTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimServiceTest.java
@@ -25,7 +25,7 @@
 class ClaimServiceTest {
     private static final TeamId TEAM = TeamId.of("t");
     private static final RequestId LETTER = RequestId.of("letter");
-    private static final long PATIENCE_MS = 5_000;
+    private static final long CALLER_TIMEOUT_MS = 5_000;
 
     private final Clock clock = Clock.system();
     private final MemoryTable table = new MemoryTable();
@@ -44,7 +44,7 @@
     }
 
     private CompletableFuture<ClaimDecision> claim(ClaimService service, RequestId request) {
-        return service.claim(TEAM, request, clock.nowMs() + PATIENCE_MS);
+        return service.claim(TEAM, request, clock.nowMs() + CALLER_TIMEOUT_MS);
     }
 
     private ClaimPermit permitted(ClaimDecision decision) {
@@ -65,7 +65,7 @@
         }
 
         @Test
-        void secondSubmissionIsToldTheOwner() {
+        void secondSubmissionReceivesTheOwner() {
             permitted(claim(first, LETTER).join());
             ClaimDecision other = claim(second, LETTER).join();
             ClaimRow row = assertInstanceOf(ClaimDecision.AlreadyClaimed.class, other).row();
@@ -121,7 +121,7 @@
             var error = assertInstanceOf(ClaimDecision.Refused.class, decision).error();
             assertEquals(Verdict.NOT_RUN, error.verdict());
             assertTrue(error.retryAfterMs().isPresent());
-            assertTrue(clock.nowMs() - startMs < PATIENCE_MS / 2, "waited for the deadline");
+            assertTrue(clock.nowMs() - startMs < CALLER_TIMEOUT_MS / 2, "waited for the deadline");
         }
 
         /**
@@ -133,7 +133,7 @@
             table.loseAnswers(ClaimPolicy.defaults().maxTries());
             ClaimDecision refused = claim(first, LETTER).join();
             var error = assertInstanceOf(ClaimDecision.Refused.class, refused).error();
-            assertTrue(error.retryAfterMs().isPresent(), "told when to come back");
+            assertTrue(error.retryAfterMs().isPresent(), "has a retry delay");
             ClaimDecision next = claim(second, LETTER).join();
             while (next instanceof ClaimDecision.AlreadyClaimed) {
                 next = claim(second, LETTER).join();
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimSharingTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimSharingTest.java
@@ -20,7 +20,7 @@
         for (int i = 0; i < n; i++) {
             domain.runTo(startMs + (long) (i * 1_000 / rate));
             ClaimDomain.Router router = domain.all().get(i % domain.all().size());
-            if (router.isWell()) {
+            if (router.isHealthy()) {
                 domain.claim(router, "k" + startMs + "-" + i, 1_000);
             }
         }
@@ -29,7 +29,7 @@
 
     /** All routers and the table are well. */
     @Nested
-    class Quiet {
+    class NoFaults {
         /** The table takes few transactions a second, whatever the number of routers. */
         @Test
         void transactionsOfADomainStayUnderOneRoutersBudget() {
@@ -44,7 +44,7 @@
         private double measure(int routers, int shareAbove) {
             ClaimDomain domain = new ClaimDomain(routers, shareAbove);
             load(domain, RATE, LOAD_MS);
-            domain.countAnew();
+            domain.resetCounts();
             load(domain, RATE, LOAD_MS);
             double perSecond = domain.transactions() * 1_000.0 / LOAD_MS;
             System.out.printf(
@@ -79,7 +79,7 @@
 
         Faults() {
             load(domain, RATE, 5_000);
-            domain.countAnew();
+            domain.resetCounts();
         }
 
         /**
@@ -120,7 +120,7 @@
             ClaimDomain.Router writer = domain.writer();
             long startMs = domain.now();
             domain.runTo(startMs + 20);
-            writer.become(fault);
+            writer.setFault(fault);
             load(domain, RATE, FAULT_MS);
             double perSecond = domain.transactions() * 1_000.0 / FAULT_MS;
             System.out.printf(
@@ -135,7 +135,7 @@
             assertEquals(0, domain.refusals().size(), "refused");
             assertTrue(domain.waitMs(1) <= boundMs, "waited " + domain.waitMs(1) + " ms");
             assertTrue(perSecond <= 2 * 21, perSecond + " transactions/s");
-            writer.become(ClaimDomain.Fault.NONE);
+            writer.setFault(ClaimDomain.Fault.NONE);
             load(domain, RATE, FAULT_MS);
             domain.runTo(domain.now() + 2 * SETTLED_MS);
             long owned = domain.rows(ClaimStatus.CLAIMED);
@@ -150,7 +150,7 @@
          */
         @Test
         void tableOut() {
-            domain.tableOut(true);
+            domain.setTableOut(true);
             load(domain, RATE, FAULT_MS);
             System.out.printf(
                     "claims: table out: %d refused, longest wait %d p99 %d ms, %d transactions%n",
@@ -161,9 +161,9 @@
             assertEquals(domain.decisions().size(), domain.refusals().size());
             assertTrue(domain.refusals().stream().allMatch(e -> e.retryAfterMs().isPresent()));
             assertTrue(domain.waitMs(1) <= 150, "waited " + domain.waitMs(1) + " ms");
-            domain.tableOut(false);
+            domain.setTableOut(false);
             load(domain, RATE, FAULT_MS);
-            domain.countAnew();
+            domain.resetCounts();
             load(domain, RATE, FAULT_MS);
             double perSecond = domain.transactions() * 1_000.0 / FAULT_MS;
             assertTrue(perSecond <= 21, perSecond + " transactions/s after the outage");
@@ -173,7 +173,7 @@
         /** The table takes 300 ms a call: its writer is slow and not lost, and goes on alone. */
         @Test
         void tableSlow() {
-            domain.tableDelay(150);
+            domain.setTableDelay(150);
             load(domain, RATE, FAULT_MS);
             double perSecond = domain.transactions() * 1_000.0 / FAULT_MS;
             System.out.printf(
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
@@ -45,7 +45,7 @@
         private final String nonce;
         private final ClaimStateMachine state;
         private long sendBeforeMs = Long.MIN_VALUE;
-        private Verdict told;
+        private Verdict reportedVerdict;
 
         private Submission(RowKey key, String nonce, ClaimStateMachine state) {
             this.key = key;
@@ -57,14 +57,14 @@
     /** A router's memory, lost with it. */
     private static final class Router {
         private final Map<Long, Submission> live = new HashMap<>();
-        private final Set<OfferKey> offers = new HashSet<>();
-        private ClaimBatch batch;
-        private ClaimSharing sharing;
-        private GuestWrites guests;
+        private final Set<ClaimWriteId> pendingWrites = new HashSet<>();
+        private ClaimBatcher batch;
+        private WriteDelegation delegation;
+        private PeerWrites peerWrites;
     }
 
     /** A message between two routers, on its way. */
-    private record Hop(Router to, Runnable arrives) {}
+    private record LinkMessage(Router to, Runnable onArrival) {}
 
     /** The time of this world. */
     private final class WorldClock implements Clock {
@@ -84,9 +84,9 @@
 
     private final Random random;
     private final boolean sendFirst;
-    private final boolean hops;
-    private final boolean trusting;
-    private final List<Hop> between = new ArrayList<>();
+    private final boolean sharesWrites;
+    private final boolean trustsAcceptance;
+    private final List<LinkMessage> messages = new ArrayList<>();
     private final MemoryTable table = new MemoryTable();
     private final List<Router> routers = new ArrayList<>();
     private final List<Sent> network = new ArrayList<>();
@@ -95,23 +95,24 @@
     private final Map<RowKey, List<String>> runs = new HashMap<>();
     private long nowMs = 1_000;
     private long ids;
-    private long answers;
-    private boolean out;
+    private long responses;
+    private boolean isTableOut;
 
     /** With {@code sendFirst} routers follow the plain policy: send, then claim. */
     ClaimWorld(long seed, boolean sendFirst) {
         this(seed, sendFirst, false, false);
     }
 
-    private ClaimWorld(long seed, boolean sendFirst, boolean hops, boolean trusting) {
+    private ClaimWorld(
+            long seed, boolean sendFirst, boolean sharesWrites, boolean trustsAcceptance) {
         random = new Random(seed);
         this.sendFirst = sendFirst;
-        this.hops = hops;
-        this.trusting = trusting;
-        routers.add(restarted());
-        routers.add(restarted());
-        if (hops) {
-            routers.add(restarted());
+        this.sharesWrites = sharesWrites;
+        this.trustsAcceptance = trustsAcceptance;
+        routers.add(newRouter());
+        routers.add(newRouter());
+        if (sharesWrites) {
+            routers.add(newRouter());
         }
     }
 
@@ -142,31 +143,31 @@
     }
 
     /** Returns how many answers of writers reached a claimant. */
-    long answersOfWriters() {
-        return answers;
+    long writerResponses() {
+        return responses;
     }
 
-    long told(Verdict verdict) {
-        return all.stream().filter(s -> s.told == verdict).count();
+    long countVerdicts(Verdict verdict) {
+        return all.stream().filter(s -> s.reportedVerdict == verdict).count();
     }
 
     boolean notRunNeverRan() {
         return all.stream()
-                .filter(s -> s.told == Verdict.NOT_RUN)
+                .filter(s -> s.reportedVerdict == Verdict.NOT_RUN)
                 .noneMatch(s -> runs.getOrDefault(s.key, List.of()).contains(s.nonce));
     }
 
-    private Router restarted() {
+    private Router newRouter() {
         Router r = new Router();
-        r.batch = new ClaimBatch(LIMITS, nowMs);
-        r.sharing = new ClaimSharing(RouterId.of("self"), SHARING);
-        r.guests = new GuestWrites(r.batch, new WorldClock());
+        r.batch = new ClaimBatcher(LIMITS, nowMs);
+        r.delegation = new WriteDelegation(RouterId.of("self"), SHARING);
+        r.peerWrites = new PeerWrites(r.batch, new WorldClock());
         return r;
     }
 
     private void step() {
-        if (hops && random.nextInt(5) < 3) {
-            stepBetween(routers.get(random.nextInt(routers.size())));
+        if (sharesWrites && random.nextInt(5) < 3) {
+            stepMessages(routers.get(random.nextInt(routers.size())));
             return;
         }
         int choice = random.nextInt(100);
@@ -179,85 +180,87 @@
         } else if (choice < 75 && !network.isEmpty()) {
             deliver(network.remove(random.nextInt(network.size())));
         } else if (choice < 88) {
-            actOnOne(router);
+            advanceOneClaim(router);
         } else if (choice < 91 && !delayed.isEmpty()) {
             table.apply(delayed.remove(random.nextInt(delayed.size())).transaction());
         } else if (choice < 94) {
-            routers.set(routers.indexOf(router), restarted());
+            routers.set(routers.indexOf(router), newRouter());
         } else if (choice < 96) {
-            out = !out && (!hops || random.nextInt(3) == 0);
+            isTableOut = !isTableOut && (!sharesWrites || random.nextInt(3) == 0);
         } else if (choice < 97) {
             nowMs += random.nextInt(500);
         }
     }
 
     /** A message arrives, is lost, or arrives twice; or a claimant stops waiting. */
-    private void stepBetween(Router router) {
-        if (random.nextInt(8) == 0 || between.isEmpty()) {
+    private void stepMessages(Router router) {
+        if (random.nextInt(8) == 0 || messages.isEmpty()) {
             nowMs += random.nextInt(4);
-            for (OfferKey key : List.copyOf(router.offers)) {
-                act(router, key, router.sharing.overdue(key, nowMs));
+            for (ClaimWriteId key : List.copyOf(router.pendingWrites)) {
+                act(router, key, router.delegation.expire(key, nowMs));
             }
             return;
         }
         int fate = random.nextInt(20);
-        int chosen = random.nextInt(between.size());
-        Hop hop = fate == 0 ? between.get(chosen) : between.remove(chosen);
+        int chosen = random.nextInt(messages.size());
+        LinkMessage hop = fate == 0 ? messages.get(chosen) : messages.remove(chosen);
         if (fate != 1 && routers.contains(hop.to())) {
-            hop.arrives().run();
+            hop.onArrival().run();
         }
     }
 
     private void offer(Router router, BatchItem item) {
         Router writer = routers.get(random.nextInt(routers.size()));
-        if (!hops || writer == router) {
+        if (!sharesWrites || writer == router) {
             writeHere(router, item);
             return;
         }
-        OfferKey key = router.sharing.offered(item, RouterId.of("writer"), nowMs);
-        router.offers.add(key);
+        ClaimWriteId key = router.delegation.addPending(item, RouterId.of("writer"), nowMs);
+        router.pendingWrites.add(key);
         int fate = random.nextInt(20);
         if (fate == 0) {
-            act(router, key, router.sharing.notSent(key, nowMs));
+            act(router, key, router.delegation.onNotSent(key, nowMs));
             return;
         }
-        ClaimOffer message = ClaimOffer.of(item).orElseThrow();
-        between.add(new Hop(writer, () -> arrive(writer, message, router)));
+        ClaimWriteRequest message = ClaimWriteRequest.of(item).orElseThrow();
+        messages.add(new LinkMessage(writer, () -> arrive(writer, message, router)));
         if (fate == 1) {
-            act(router, key, router.sharing.lost(key, nowMs));
+            act(router, key, router.delegation.onLinkLost(key, nowMs));
         }
     }
 
-    private void arrive(Router writer, ClaimOffer message, Router claimant) {
-        OfferKey key = message.offer();
-        if (trusting) {
-            new HopReply(claimant, key).send(new ClaimAnswer(ClaimAnswer.Kind.COMMITTED, 1, ""));
+    private void arrive(Router writer, ClaimWriteRequest message, Router claimant) {
+        ClaimWriteId key = message.id();
+        if (trustsAcceptance) {
+            new LinkReply(claimant, key)
+                    .send(new ClaimWriteResponse(ClaimWriteResponse.Kind.COMMITTED, 1, ""));
         }
-        if (writer.guests.take(message, new HopReply(claimant, key))) {
-            between.add(new Hop(claimant, () -> claimant.sharing.taken(key, nowMs)));
+        if (writer.peerWrites.accept(message, new LinkReply(claimant, key))) {
+            messages.add(
+                    new LinkMessage(claimant, () -> claimant.delegation.markAccepted(key, nowMs)));
         }
     }
 
     /** Carries a writer's answer back. */
-    private final class HopReply implements Reply {
+    private final class LinkReply implements Reply {
         private final Router claimant;
-        private final OfferKey key;
+        private final ClaimWriteId key;
 
-        private HopReply(Router claimant, OfferKey key) {
+        private LinkReply(Router claimant, ClaimWriteId key) {
             this.claimant = claimant;
             this.key = key;
         }
 
         @Override
         public boolean send(PeerMessage m) {
-            ClaimAnswer answer = (ClaimAnswer) m;
-            between.add(new Hop(claimant, () -> back(answer)));
+            ClaimWriteResponse response = (ClaimWriteResponse) m;
+            messages.add(new LinkMessage(claimant, () -> deliverResponse(response)));
             return true;
         }
 
-        private void back(ClaimAnswer answer) {
-            answers++;
-            act(claimant, key, claimant.sharing.answered(key, answer, false, nowMs));
+        private void deliverResponse(ClaimWriteResponse response) {
+            responses++;
+            act(claimant, key, claimant.delegation.onResponse(key, response, false, nowMs));
         }
 
         @Override
@@ -266,13 +269,13 @@
         }
     }
 
-    private void act(Router router, OfferKey key, List<SharingAction> actions) {
-        for (SharingAction action : actions) {
-            router.offers.remove(key);
-            if (action instanceof SharingAction.Tell t) {
-                tell(router, t.event().claim(), t.event().event());
+    private void act(Router router, ClaimWriteId key, List<DelegationAction> actions) {
+        for (DelegationAction action : actions) {
+            router.pendingWrites.remove(key);
+            if (action instanceof DelegationAction.Report t) {
+                deliver(router, t.event().claim(), t.event().event());
             } else {
-                writeHere(router, ((SharingAction.WriteHere) action).item());
+                writeHere(router, ((DelegationAction.WriteLocally) action).item());
             }
         }
     }
@@ -281,12 +284,13 @@
         OptionalLong refused = router.batch.offer(item, nowMs);
         if (refused.isPresent()) {
             int ticket = item.write().ticket();
-            tell(router, item.claim(), new ClaimEvent.NotDone(ticket, refused));
+            deliver(router, item.claim(), new ClaimEvent.NotDone(ticket, refused));
         }
     }
 
     private void submit(Router router) {
-        RequestId request = RequestId.of("r" + random.nextInt(hops ? SHARED_REQUESTS : REQUESTS));
+        RequestId request =
+                RequestId.of("r" + random.nextInt(sharesWrites ? SHARED_REQUESTS : REQUESTS));
         RowKey key = ClaimRow.keyOf(TeamId.of("t"), request);
         long id = ++ids;
         ClaimRow row = ClaimRow.claimed("n" + id, RouterId.of("router"), nowMs);
@@ -305,7 +309,7 @@
         boolean known = routers.contains(sent.router());
         int fate = random.nextInt(10);
         TransactionOutcome outcome = new TransactionOutcome.Unknown("lost");
-        if (out || fate == 0) {
+        if (isTableOut || fate == 0) {
             outcome = TransactionOutcome.NotDone.because("out");
         } else if (fate == 1) {
             delayed.add(sent.group());
@@ -315,38 +319,38 @@
             outcome = table.apply(sent.group().transaction());
         }
         if (known) {
-            for (BatchEvent e : sent.router().batch.on(sent.group().id(), outcome, nowMs)) {
-                if (!sent.router().guests.answer(e)) {
-                    tell(sent.router(), e.claim(), e.event());
+            for (BatchEvent e : sent.router().batch.onOutcome(sent.group().id(), outcome, nowMs)) {
+                if (!sent.router().peerWrites.respond(e)) {
+                    deliver(sent.router(), e.claim(), e.event());
                 }
             }
         }
     }
 
     /** A caller cancels, or a permitted request is sent, refused, or dropped before its send. */
-    private void actOnOne(Router router) {
+    private void advanceOneClaim(Router router) {
         List<Long> ready = new ArrayList<>(router.live.keySet());
         if (ready.isEmpty()) {
             return;
         }
         long id = ready.get(random.nextInt(ready.size()));
         Submission s = router.live.get(id);
-        if (s.told == null && s.sendBeforeMs == Long.MIN_VALUE) {
+        if (s.reportedVerdict == null && s.sendBeforeMs == Long.MIN_VALUE) {
             if (random.nextInt(4) == 0) {
-                tell(router, id, new ClaimEvent.GiveUp());
+                deliver(router, id, new ClaimEvent.GiveUp());
             }
             return;
         }
-        if (s.told != null) {
+        if (s.reportedVerdict != null) {
             return;
         }
         if (nowMs < s.sendBeforeMs && random.nextInt(4) > 0) {
             execute(s);
-            s.told = random.nextBoolean() ? Verdict.COMPLETED : Verdict.MAY_HAVE_RUN;
-            tell(router, id, new ClaimEvent.Ended(s.told, ""));
+            s.reportedVerdict = random.nextBoolean() ? Verdict.COMPLETED : Verdict.MAY_HAVE_RUN;
+            deliver(router, id, new ClaimEvent.Ended(s.reportedVerdict, ""));
         } else {
-            s.told = Verdict.NOT_RUN;
-            tell(router, id, new ClaimEvent.NotSent());
+            s.reportedVerdict = Verdict.NOT_RUN;
+            deliver(router, id, new ClaimEvent.NotSent());
         }
     }
 
@@ -354,7 +358,7 @@
         runs.computeIfAbsent(s.key, k -> new ArrayList<>()).add(s.nonce);
     }
 
-    private void tell(Router router, long id, ClaimEvent event) {
+    private void deliver(Router router, long id, ClaimEvent event) {
         Submission s = router.live.get(id);
         if (s != null) {
             apply(router, id, s.state.on(event, nowMs));
@@ -367,12 +371,12 @@
             if (action instanceof ClaimAction.Write w) {
                 offer(router, new BatchItem(id, w.write()));
             } else if (action instanceof ClaimAction.Grant m) {
-                assertTrue(s.told == null, "permitted after its answer");
+                assertTrue(s.reportedVerdict == null, "granted after its verdict");
                 s.sendBeforeMs = m.sendBeforeMs();
             } else if (action instanceof ClaimAction.ReportAlreadyClaimed j) {
-                s.told = j.row().verdict();
+                s.reportedVerdict = j.row().verdict();
             } else if (action instanceof ClaimAction.Refuse r) {
-                s.told = r.error().verdict();
+                s.reportedVerdict = r.error().verdict();
             } else {
                 router.live.remove(id);
             }
