--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
@@ -19,30 +19,33 @@
 import org.masticweir.limits.AdmissionDecision.Refused;
 
 /**
- * Lets new work in, keeps it waiting or refuses it, by the targets of its class.
+ * Admits new requests, queues them or refuses them, based on the targets of their class.
  *
- * <p>Use: {@link #offer} each request; send it on {@link Admitted} and call {@link #recordSend}
- * once {@code InFlight} knows of it; call {@link #tick} every few milliseconds for those queued;
- * call {@link #recordEnd} when an admitted request ends in whatever way.
+ * <p>Usage: {@link #offer} each request; send it on {@link Admitted} and call {@link #markSent}
+ * once {@code InFlight} counts it; call {@link #tick} every few milliseconds to decide on queued
+ * requests; call {@link #markFinished} when an admitted request ends in any way.
  *
- * <p>Failure guarded against: in overload a queue grows until everything in it is answered too
- * late. A request is refused as soon as the prediction says that it would miss its target, so what
- * waits is what can still be served in time.
+ * <p>Prevents that in overload the queue grows until every request in it is answered too late. A
+ * request is refused as soon as it is predicted to miss its target, so the queue holds only
+ * requests that can still be served in time.
  *
  * <p>Thread-safe: each call holds one lock for a short time.
  */
 public final class AdmissionController {
-    /** One team may hold one in so many of the queue's places. */
+    /** A team may use the size of the queue divided by this number. */
     private static final int TEAM_QUEUE_DIVISOR = 4;
 
     /**
-     * Places beyond the bound for teams with nothing queued, so that others can't shut them out.
+     * Queue entries beyond the limit for teams with nothing queued, so that other teams can't block
+     * them.
      */
     private static final int RESERVED_FOR_IDLE_TEAMS = 512;
 
     private static final int MAX_RUNNING = 16_384;
 
-    /** Model versions with a queue; a deployment has few, so more of them are a caller's error. */
+    /**
+     * Model versions with a queue. A deployment has few; a larger number is an error of the caller.
+     */
     private static final int MAX_MODELS = 256;
 
     private final CapacitySource capacity;
@@ -68,11 +71,11 @@
     }
 
     /**
-     * Returns an admission that has let nothing in yet.
+     * Returns a controller that has admitted nothing yet.
      *
-     * @param teamWeights how teams are to be served, for example {@link TeamShares}
-     * @param waitingRecoveries recoveries of a model that go ahead of new work, for example {@link
-     *     RecoveryAdmissionController#waitingCount}
+     * @param teamWeights weights of the teams, for example {@link TeamShares}
+     * @param waitingRecoveries number of waiting recoveries of a model, which take precedence over
+     *     new requests, for example {@link RecoveryAdmissionController#waitingCount}
      */
     public static AdmissionController create(
             CapacitySource capacity,
@@ -83,7 +86,7 @@
         return new AdmissionController(capacity, teamWeights, waitingRecoveries, random, settings);
     }
 
-    /** Returns an admission with the default tuning. */
+    /** Returns a controller with the default settings. */
     public static AdmissionController create(
             CapacitySource capacity,
             TeamWeights teamWeights,
@@ -92,7 +95,7 @@
         return create(capacity, teamWeights, waitingRecoveries, random, LimitSettings.defaults());
     }
 
-    /** Decides on {@code r}; a request offered before and not finished is an error. */
+    /** Decides on {@code r}. It is an error to offer a request again that has not finished. */
     public synchronized AdmissionDecision offer(AdmissionRequest r, long nowMs) {
         checkNotNull(r, "r");
         checkArgument(!isTracked(r.id()), "request %s offered twice", r.id());
@@ -115,7 +118,10 @@
         return new Queued(r.id(), Math.round(p.waitMs()));
     }
 
-    /** Counts an admitted request as sent, once the capacity source counts it too. */
+    /**
+     * Marks an admitted request as sent; call it once the capacity source counts the request as
+     * well.
+     */
     public synchronized void recordSend(RequestId id) {
         Running run = running.get(checkNotNull(id, "id"));
         if (run != null && !run.isSent) {
@@ -124,7 +130,7 @@
         }
     }
 
-    /** Takes note that {@code id} has ended or was cancelled, whether it was let in or waits. */
+    /** Removes request {@code id}, which has ended or was cancelled, admitted or still queued. */
     public synchronized void recordEnd(RequestId id, long nowMs) {
         AdmissionRequest waiting = queued.remove(checkNotNull(id, "id"));
         if (waiting != null) {
@@ -136,7 +142,10 @@
         }
     }
 
-    /** Decides on what waits: refuses what would be late, then lets in what there is room for. */
+    /**
+     * Decides on the queued requests: refuses those that would be late, then admits as many as
+     * there are free slots for.
+     */
     public synchronized ImmutableList<AdmissionDecision> tick(long nowMs) {
         ImmutableList.Builder<AdmissionDecision> decisions = ImmutableList.builder();
         queues.forEach((key, queue) -> tick(key, queue, nowMs, decisions));
@@ -145,7 +154,7 @@
         return decisions.build();
     }
 
-    /** Returns the counts of what waits and runs. */
+    /** Returns the numbers of queued and running requests. */
     public synchronized AdmissionStatus status() {
         return new AdmissionStatus(queued.size(), running.size());
     }
@@ -237,7 +246,7 @@
                 k -> new ModelQueue(teamWeights, new RetrySchedule(random), settings));
     }
 
-    /** A request that was let in. */
+    /** An admitted request. */
     private static final class Running {
         private final AdmissionRequest request;
         private final long admittedAtMs;
--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionDecision.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionDecision.java
@@ -7,9 +7,9 @@
 import org.masticweir.error.MasticweirException;
 import org.masticweir.id.RequestId;
 
-/** What becomes of new work; immutable. */
+/** The decision on a new request; immutable. */
 public sealed interface AdmissionDecision {
-    /** Returns the request decided on. */
+    /** Returns the request that was decided on. */
     RequestId request();
 
     /** The request may be sent now. */
@@ -20,7 +20,7 @@
     }
 
     /**
-     * The request waits; a later {@link AdmissionController#tick} decides.
+     * The request is queued; a later {@link AdmissionController#tick} decides.
      *
      * @param expectedWaitMs predicted time in the queue, in ms
      */
@@ -31,9 +31,9 @@
     }
 
     /**
-     * The request is not run, finally; it was never sent.
+     * The request is refused for good and was never sent.
      *
-     * @param retryAfterMs when the caller should come back, in ms from now
+     * @param retryAfterMs delay after which the caller should retry, in ms
      */
     record Refused(RequestId request, ErrorCode code, long retryAfterMs)
             implements AdmissionDecision {
@@ -43,7 +43,7 @@
             checkArgument(retryAfterMs >= 0, "retry after %s ms", retryAfterMs);
         }
 
-        /** Returns the error that the caller gets. */
+        /** Returns the error to send to the caller. */
         public MasticweirException toException() {
             return MasticweirException.notRun(code, "not admitted").retryAfterMs(retryAfterMs);
         }
--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionRequest.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionRequest.java
@@ -9,10 +9,10 @@
 import org.masticweir.id.TeamId;
 
 /**
- * New work that asks to be let in; immutable.
+ * A new request that asks for admission; immutable.
  *
- * @param maxTokens most tokens the answer may have, at least 1
- * @param receivedAtMs when the first router took it; its targets count from then
+ * @param maxTokens maximum number of tokens of the answer, at least 1
+ * @param receivedAtMs time at which the first router received it; its targets count from then
  */
 public record AdmissionRequest(
         RequestId id,
@@ -33,17 +33,17 @@
         checkArgument(maxTokens >= 1, "at most %s tokens", maxTokens);
     }
 
-    /** Returns the latest moment for the first token. */
+    /** Returns the deadline of the first token. */
     long firstTokenDueMs() {
         return receivedAtMs + workClass.firstTokenMs();
     }
 
-    /** Returns the latest moment for the whole answer. */
+    /** Returns the deadline of the whole answer. */
     long dueMs() {
         return receivedAtMs + workClass.totalMs();
     }
 
-    /** Returns what the request may cost, in tokens read and written. */
+    /** Returns the maximum cost of the request: prompt and output tokens. */
     int maxTotalTokens() {
         return promptTokens + maxTokens;
     }
--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionStatus.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionStatus.java
@@ -1,4 +1,4 @@
 package org.masticweir.limits;
 
-/** How much new work waits and runs on this router; immutable. */
+/** The numbers of queued and of running requests on this router; immutable. */
 public record AdmissionStatus(int queued, int running) {}
--- a/masticweir/src/main/java/org/masticweir/limits/Capacity.java
+++ b/masticweir/src/main/java/org/masticweir/limits/Capacity.java
@@ -3,15 +3,16 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * What the engines of one model version can take from this router now; immutable.
+ * The capacity that the engines of one model version have for this router now; immutable.
  *
- * @param engines engines that may take new work
- * @param freeSlots places in their batches that this router may fill now; below 0 when overfull
- * @param reachableSlots places it could fill at once if all were free
- * @param fairShareSlots its even part of all places, by which it is served in the long run
- * @param holdMs mean time that a sequence keeps its place, in ms
- * @param prefillTokensPerMs prompt tokens that one engine computes in a millisecond
- * @param stepMs time from one token to the next at full load, in ms
+ * @param engines engines that may take new requests
+ * @param freeSlots slots in their batches that this router may fill now; below 0 if it has
+ *     overfilled them
+ * @param reachableSlots slots it could fill at once if all were free
+ * @param fairShareSlots its even share of all slots, which limits its long-term throughput
+ * @param holdMs mean time that a sequence occupies its slot, in ms
+ * @param prefillTokensPerMs prompt tokens that one engine computes per millisecond
+ * @param stepMs time between two tokens at full load, in ms
  */
 public record Capacity(
         int engines,
@@ -21,7 +22,7 @@
         double holdMs,
         double prefillTokensPerMs,
         double stepMs) {
-    /** Time and spacing for refused callers to come back when no engine serves, in ms. */
+    /** Hold time used to compute retry delays while no engine serves the model, in ms. */
     private static final double NO_ENGINE_HOLD_MS = 1_000;
 
     private static final double NO_ENGINE_SLOTS = 50;
@@ -30,7 +31,7 @@
 
     public Capacity {
         checkArgument(engines >= 0, "%s engines", engines);
-        checkArgument(fairShareSlots > 0, "%s fair places", fairShareSlots);
+        checkArgument(fairShareSlots > 0, "%s fair share slots", fairShareSlots);
         checkArgument(prefillTokensPerMs > 0, "prefill of %s tokens a ms", prefillTokensPerMs);
     }
 
--- a/masticweir/src/main/java/org/masticweir/limits/CapacitySource.java
+++ b/masticweir/src/main/java/org/masticweir/limits/CapacitySource.java
@@ -2,7 +2,7 @@
 
 import org.masticweir.id.ModelId;
 
-/** Tells what engines can take. Implementations are thread-safe. */
+/** Source of the capacity of engines. Implementations are thread-safe. */
 @FunctionalInterface
 public interface CapacitySource {
     /** Returns the capacity for {@code version} of {@code model}. */
--- a/masticweir/src/main/java/org/masticweir/limits/ClassQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ClassQueue.java
@@ -11,22 +11,24 @@
 import org.masticweir.id.TeamId;
 
 /**
- * The waiting requests of one class, served fairly between teams; not thread-safe.
+ * The queued requests of one class, shared fairly between teams; not thread-safe.
  *
- * <p>Weighted fair queueing on tokens: the team that got the fewest tokens for its weight is next.
- * A team that was idle starts level with those served now, so it can't save up a claim.
+ * <p>Weighted fair queueing on tokens: the team with the fewest tokens per weight is served next. A
+ * team that was idle starts at the current virtual time, so it can't accumulate credit.
  */
 final class ClassQueue {
     private static final int MAX_IDLE_TEAMS = 512;
 
-    /** Stands for every team where they share one queue. */
+    /** Key of the common queue when teams are not separated. */
     private static final TeamId ALL_TEAMS = TeamId.of("all");
 
     private final ToDoubleFunction<TeamId> weight;
     private final LimitSettings settings;
     private final Map<TeamId, TeamQueue> teams = new LinkedHashMap<>();
 
-    /** Where teams without requests stand, as long as that is ahead of the clock. */
+    /**
+     * Virtual times of teams without requests, kept while they are ahead of {@link #virtualTime}.
+     */
     private final Map<TeamId, Double> idleVirtualTimes = new LinkedHashMap<>();
 
     private final HeadWaitEstimate headWait = new HeadWaitEstimate();
@@ -62,7 +64,7 @@
         return true;
     }
 
-    /** Returns the request to be served next of those that {@code admissible} lets in, if any. */
+    /** Returns the next request among those for which {@code isAdmissible} holds, if any. */
     Optional<AdmissionRequest> next(Predicate<AdmissionRequest> isAdmissible) {
         return teams.values().stream()
                 .filter(t -> isAdmissible.test(t.first()))
@@ -70,7 +72,7 @@
                 .map(TeamQueue::first);
     }
 
-    /** Takes {@code r} out and charges its team. */
+    /** Removes {@code r} and charges its team. */
     void serve(AdmissionRequest r, long nowMs) {
         TeamQueue team = teams.get(queueKey(r.team()));
         virtualTime = Math.max(virtualTime, team.servedPerWeight());
@@ -79,7 +81,7 @@
         headWait.recordServed(nowMs);
     }
 
-    /** Returns the place time served to this class, on the clock of all classes. */
+    /** Returns the slot time served to this class, in the virtual time of all classes. */
     double servedSlotMs() {
         return servedSlotMs;
     }
@@ -88,7 +90,7 @@
         servedSlotMs += slotMs;
     }
 
-    /** Takes the class no further back than {@code level}, as it has been idle. */
+    /** Raises the virtual time of a class that was idle to at least {@code level}. */
     void advanceTo(double level) {
         servedSlotMs = Math.max(servedSlotMs, level);
     }
@@ -97,17 +99,18 @@
         return holdTime;
     }
 
-    /** Returns how long the first request waits for its turn. */
+    /** Returns the expected time that the first request waits until it is admitted. */
     double headWaitMs(double estimateMs, long nowMs) {
         return headWait.expectedMs(estimateMs, size > 0, nowMs);
     }
 
     /**
-     * Returns how many requests go before {@code r} if its team has {@code own} before it.
+     * Returns how many requests are served before {@code r} if its team has {@code ownAhead} before
+     * it.
      *
-     * <p>Failure guarded against: a small team's only request is taken to wait for as many of a
-     * large team's as their weights tell, and is refused, though it would be next. What counts is
-     * where each team stands.
+     * <p>Compares the virtual times of the teams. An estimate from the weights alone assumes that
+     * the only request of a small team waits for many requests of a large team, and refuses it
+     * although it would be served next.
      */
     double requestsAhead(AdmissionRequest r, int ownAhead) {
         double perRequest = r.maxTotalTokens() / weight.applyAsDouble(r.team());
@@ -124,7 +127,9 @@
         return ahead;
     }
 
-    /** Returns where {@code team} stands, or would if it queued now. */
+    /**
+     * Returns the virtual time of {@code team}, or the one it would get if it queued a request now.
+     */
     private double virtualTimeOf(TeamId team) {
         TeamQueue queue = teams.get(team);
         return queue != null
@@ -145,7 +150,9 @@
         return ImmutableList.copyOf(teams.keySet());
     }
 
-    /** Returns up to {@code most} teams with requests; all of them come up in turn. */
+    /**
+     * Returns up to {@code max} teams with requests; repeated calls return all of them in rotation.
+     */
     ImmutableList<TeamId> nextTeams(int max) {
         ImmutableList<TeamId> all = waitingTeams();
         if (all.size() <= max) {
@@ -174,8 +181,9 @@
     }
 
     /**
-     * Failure guarded against: a team that queues one request at a time would start level each time
-     * and never pay for the one before.
+     * Keeps the virtual time of a team that became idle. Without this, a team that queues one
+     * request at a time would start at the current virtual time each time and never be charged for
+     * the one before.
      */
     private void storeIdleTeam(TeamId team, double servedPerWeight) {
         idleVirtualTimes.values().removeIf(t -> t <= virtualTime);
--- a/masticweir/src/main/java/org/masticweir/limits/HeadWaitEstimate.java
+++ b/masticweir/src/main/java/org/masticweir/limits/HeadWaitEstimate.java
@@ -1,19 +1,21 @@
 package org.masticweir.limits;
 
 /**
- * How long the first of a class's queue waits for its turn, as seen lately; not thread-safe.
+ * Recent mean time that the first request of a class queue waits until it is admitted; not
+ * thread-safe.
  *
- * <p>What the other classes take, and what comes later and goes first, is in it without a model.
+ * <p>The measured time includes the slots that other classes take and later requests that are
+ * served first, so these need no model.
  */
 final class HeadWaitEstimate {
     private static final double SMOOTHING = 0.1;
 
-    /** A turn that lasts so many times the mean has become the better estimate. */
+    /** A current wait above this multiple of the mean is the better estimate. */
     private static final double OVERDUE_FACTOR = 3;
 
     /**
-     * Time in which a mean falls to 1/e without new turns, in ms: one that refuses all that would
-     * wait would get no turns to correct it.
+     * Time in which the weight of the mean decays to 1/e without new samples, in ms. Without decay,
+     * a queue that refuses every request that would wait would get no samples to correct the mean.
      */
     private static final double DECAY_MS = 5_000;
 
@@ -21,12 +23,12 @@
     private long headSinceMs;
     private long lastServedAtMs;
 
-    /** Takes note that a queue that was empty has a first request. */
+    /** Starts the wait of the first request of a queue that was empty. */
     void startWait(long nowMs) {
         headSinceMs = nowMs;
     }
 
-    /** Takes note that the first request is let in, and the next one is first. */
+    /** Records that the first request was admitted; the wait of the next one starts. */
     void recordServed(long nowMs) {
         double waitMs = nowMs - headSinceMs;
         meanMs = meanMs == 0 ? waitMs : meanMs + SMOOTHING * (waitMs - meanMs);
@@ -35,10 +37,10 @@
     }
 
     /**
-     * Returns the time of one turn, or {@code estimateMs} while none was seen lately.
+     * Returns the expected wait of the first request, or {@code fallbackMs} without recent samples.
      *
-     * <p>Failure guarded against: engines stop taking work and the mean of better times lets a
-     * queue grow that nobody serves. A turn that lasts long counts before it has ended.
+     * <p>Prevents that engines stop taking requests while the mean of better times lets a queue
+     * grow that is not served. A long wait therefore counts before it has ended.
      */
     double expectedMs(double fallbackMs, boolean isWaiting, long nowMs) {
         double freshness = meanMs > 0 ? Math.exp(-(nowMs - lastServedAtMs) / DECAY_MS) : 0;
--- a/masticweir/src/main/java/org/masticweir/limits/HoldTimeEstimate.java
+++ b/masticweir/src/main/java/org/masticweir/limits/HoldTimeEstimate.java
@@ -1,8 +1,8 @@
 package org.masticweir.limits;
 
-/** How long requests keep their places, as seen lately; not thread-safe. */
+/** Recent statistics on how long requests occupy their slots; not thread-safe. */
 final class HoldTimeEstimate {
-    /** Least weight of one finished request; the first ones all count alike. */
+    /** Smallest weight of one finished request; the first requests all have equal weight. */
     private static final double MIN_SMOOTHING = 0.01;
 
     private double smoothing = 1;
@@ -16,14 +16,14 @@
         smoothing = Math.max(MIN_SMOOTHING, smoothing / (1 + smoothing));
     }
 
-    /** Returns the mean over requests, or {@code estimateMs} while none was seen. */
+    /** Returns the mean over requests, or {@code fallbackMs} before the first one has finished. */
     double meanMs(double fallbackMs) {
         return meanMs > 0 ? meanMs : fallbackMs;
     }
 
     /**
-     * Returns how long the request is kept that holds a place at a moment drawn at random; long
-     * ones count by their length.
+     * Returns the mean hold time of the request that occupies a slot at a random moment; longer
+     * requests weigh more, in proportion to their length.
      */
     double lengthBiasedMeanMs(double fallbackMs) {
         return meanMs > 0 ? meanSquareMs / meanMs : fallbackMs;
--- a/masticweir/src/main/java/org/masticweir/limits/LatencySensitiveClasses.java
+++ b/masticweir/src/main/java/org/masticweir/limits/LatencySensitiveClasses.java
@@ -1,28 +1,32 @@
 package org.masticweir.limits;
 
 /**
- * Tells which classes need a place at once, and what room they have that others don't; not
+ * Determines which classes need a slot at once and how many extra slots they may use; not
  * thread-safe.
  *
- * <p>A class is prompt if both its target for the first token and the time that its requests hold a
- * place are far below the time that a place stays taken. Waiting its turn among longer work would
- * make it late, whatever its share, and to go ahead costs the others little. A class with long work
- * is not prompt, however short its target.
+ * <p>A class is latency-sensitive if its target for the first token and the hold time of its
+ * requests are both far below the time that a slot stays occupied. Such a class would be late if it
+ * waited for its turn among longer requests, whatever its share, and serving it first costs the
+ * other classes little. A class with long requests is not latency-sensitive, however short its
+ * target.
  *
- * <p>Failure guarded against: lookups come while all places are held by reports for seconds. Each
- * place that comes free is theirs, yet too few do, and a third of them is late or refused. So other
- * classes leave places free for them, and a few of them may wait within the engines, which put the
- * lower priority number first as soon as any of their places is free; a router learns that only
- * with the next report.
+ * <p>Prevents that lookups arrive while reports occupy all slots for seconds. Lookups get every
+ * slot that becomes free, but these are too few, and a third of the lookups is late or refused.
+ * Other classes therefore leave slots free, and a few latency-sensitive requests may wait within
+ * the engines, which serve the lower priority number first as soon as a slot becomes free; a router
+ * receives that information only with the next report.
  */
 final class LatencySensitiveClasses {
-    /** Part of the time that a place stays taken below which requests are short. */
+    /**
+     * Hold time below which requests are short, as a fraction of the time that a slot stays
+     * occupied.
+     */
     private static final double MAX_HOLD_RATIO = 0.25;
 
-    /** Part of that time below which a target is short. */
+    /** Target below which a class is urgent, as a fraction of the same time. */
     private static final double MAX_TARGET_RATIO = 0.5;
 
-    /** Headroom is kept for so long after a prompt class was seen last. */
+    /** How long headroom is kept after the last latency-sensitive arrival. */
     private static final long HEADROOM_RETENTION_MS = 10_000;
 
     private final ModelLoad load;
@@ -35,7 +39,7 @@
         this.settings = settings;
     }
 
-    /** Takes note of an arrival of the class of {@code q}. */
+    /** Records an arrival of the class of {@code q}. */
     void recordArrival(AdmissionRequest r, ClassQueue q, Capacity capacity, long nowMs) {
         if (isLatencySensitive(r, q, capacity)) {
             lastArrivalMs = nowMs;
@@ -46,11 +50,13 @@
     }
 
     /**
-     * Returns the places that {@code r} may fill beyond those free; below 0 if it leaves some.
+     * Returns the slots that {@code r} may fill beyond the free ones; below 0 if it has to leave
+     * some free.
      *
-     * <p>Failure guarded against: one team's burst fills all places for as long as its requests
-     * run. The next place is a small team's, yet there is none for a good part of its target, and
-     * it is refused. Longer work of a team over its share therefore leaves headroom too.
+     * <p>Prevents that the burst of one team fills all slots for the whole run time of its
+     * requests. A small team gets the next slot, but none becomes free within a good part of its
+     * target, and its request is refused. Longer requests of a team above its share therefore leave
+     * headroom too.
      */
     double extraSlots(
             AdmissionRequest r, ClassQueue q, Capacity capacity, boolean isTeamOverShare) {
--- a/masticweir/src/main/java/org/masticweir/limits/LimitSettings.java
+++ b/masticweir/src/main/java/org/masticweir/limits/LimitSettings.java
@@ -5,7 +5,8 @@
 import org.masticweir.settings.DaemonSettings;
 
 /**
- * What limits follow of the daemon's settings; each switch turns one mechanism off for a trial.
+ * Settings of the limits, from the daemon's settings; each switch turns one mechanism off for
+ * comparison.
  *
  * <p>Immutable.
  */
@@ -16,67 +17,70 @@
         checkNotNull(settings, "settings");
     }
 
-    /** Returns the tuning of a daemon whose settings leave it out. */
+    /** Returns the settings of a daemon whose settings file omits them. */
     public static LimitSettings defaults() {
         return of(DaemonSettings.Limits.defaults());
     }
 
-    /** Returns the tuning that {@code settings} give. */
+    /** Returns the limits in {@code settings}. */
     public static LimitSettings of(DaemonSettings.Limits settings) {
         return new LimitSettings(settings);
     }
 
-    /** Tells whether classes are served by equal shares of place time; if not, as they came. */
+    /**
+     * Returns whether classes get equal shares of slot time; otherwise requests are served in order
+     * of arrival.
+     */
     boolean classShares() {
         return settings.classShares();
     }
 
-    /** Tells whether what would be late is refused from the queue. */
+    /** Returns whether queued requests that would be late are refused. */
     boolean queueDeadlines() {
         return settings.queueDeadlines();
     }
 
-    /** Tells whether teams of a class are served by weight, and bounded one by one. */
+    /** Returns whether the teams of a class are served by weight and each has a queue limit. */
     boolean fairShares() {
         return settings.fairShares();
     }
 
-    /** Tells whether an arrival predicted to be late is refused at once. */
+    /** Returns whether a request that is predicted to be late is refused on arrival. */
     boolean predictedRefusal() {
         return settings.predictedRefusal();
     }
 
-    /** Tells whether only so many recoveries start at a time. */
+    /** Returns whether the number of recoveries that start at a time is limited. */
     boolean recoveryAdmission() {
         return settings.recoveryAdmission();
     }
 
-    /** Returns how many requests may wait. */
+    /** Returns the maximum number of queued requests. */
     int maxQueued() {
         return settings.maxQueued();
     }
 
-    /** Returns the share of the places that only prompt classes may fill. */
+    /** Returns the share of the slots that is reserved for latency-sensitive classes. */
     double headroomShare() {
         return classShares() ? settings.headroomPercent() / PERCENT : 0;
     }
 
-    /** Returns the share of the places that teams over their share leave to others. */
+    /** Returns the share of the slots that teams above their fair share leave free for others. */
     double teamHeadroomShare() {
         return fairShares() ? settings.headroomPercent() / PERCENT : 0;
     }
 
-    /** Returns what prompt classes may send beyond all places, as a share of them. */
+    /** Returns the share of the slots that latency-sensitive classes may send beyond all slots. */
     double overcommitShare() {
         return classShares() ? settings.overcommitPercent() / PERCENT : 0;
     }
 
-    /** Returns how many times its even part of the free places a router may fill. */
+    /** Returns the multiple of its even share of the free slots that a router may fill. */
     double burstFactor() {
         return settings.burstPercent() / PERCENT;
     }
 
-    /** Returns the share of the router's places on which recoveries may start at a time. */
+    /** Returns the share of the router's slots on which recoveries may start at a time. */
     double recoveryShare() {
         return settings.recoverySharePercent() / PERCENT;
     }
--- a/masticweir/src/main/java/org/masticweir/limits/ModelKey.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelKey.java
@@ -4,7 +4,7 @@
 
 import org.masticweir.id.ModelId;
 
-/** What decides which engines can serve a request; immutable. */
+/** Model and version, which determine the engines that can serve a request; immutable. */
 record ModelKey(ModelId model, String version) {
     ModelKey {
         checkNotNull(model, "model");
--- a/masticweir/src/main/java/org/masticweir/limits/ModelLoad.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelLoad.java
@@ -1,6 +1,6 @@
 package org.masticweir.limits;
 
-/** This router's own work on one model version; not thread-safe. */
+/** This router's own requests to one model version; not thread-safe. */
 final class ModelLoad {
     private int running;
     private int notYetSent;
@@ -28,12 +28,12 @@
         return running;
     }
 
-    /** Returns requests admitted whose send the capacity doesn't show yet. */
+    /** Returns the number of admitted requests that the capacity source does not count yet. */
     int notYetSent() {
         return notYetSent;
     }
 
-    /** Returns how long requests kept their places. */
+    /** Returns the statistics on how long requests occupied their slots. */
     HoldTimeEstimate holdTime() {
         return holdTime;
     }
--- a/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
@@ -10,25 +10,24 @@
 import org.masticweir.id.WorkClassId;
 
 /**
- * The waiting requests of one model version, served by equal shares between classes; not
- * thread-safe.
+ * The queued requests of one model version, with equal shares for its classes; not thread-safe.
  *
- * <p>Start-time fair queueing on the time that places are held: the class that got the least is
- * next, and one that was idle starts level with those served now. A class that asks for less than
- * its share waits for one place at most, whatever the others queue.
+ * <p>Start-time fair queueing on slot time: the class with the least slot time is served next, and
+ * a class that was idle starts at the current virtual time. A class that needs less than its share
+ * waits for at most one slot, however many requests the other classes queue.
  *
- * <p>Failure guarded against: in overload a class with a short target takes all places and those
- * with longer ones get none, though they ask for little. No order by target or deadline shows that,
- * since a queue that is full of the one is always more urgent than the other.
+ * <p>Prevents that in overload a class with a short target takes all slots and classes with longer
+ * targets get none, though they need few. An order by target or deadline has this fault, since a
+ * full queue of the former class is always more urgent than the latter.
  */
 final class ModelQueue {
-    /** Stands for every class where they share one queue. */
+    /** Key of the common queue when classes are not separated. */
     private static final WorkClassId ALL_CLASSES = WorkClassId.of("all");
 
-    /** Part of the turn under way that is still to come, on average. */
+    /** Share of the current head's wait that remains, on average. */
     private static final double REMAINING_WAIT_SHARE = 0.5;
 
-    /** Teams of a class that one tick predicts for. */
+    /** Teams of a class for which one tick computes predictions. */
     private static final int MAX_PREDICTED_TEAMS_PER_TICK = 64;
 
     private final TeamWeights teamWeights;
@@ -38,7 +37,7 @@
     private final LimitSettings settings;
     private final LatencySensitiveClasses latencySensitive;
 
-    /** Where the class served last stood before. */
+    /** Virtual time of the class served last, before it was charged. */
     private double virtualTime;
 
     ModelQueue(TeamWeights teamWeights, RetrySchedule retries, LimitSettings settings) {
@@ -52,7 +51,7 @@
         return load;
     }
 
-    /** Takes note that {@code r} has ended, which was let in {@code heldMs} ago. */
+    /** Removes {@code r}, which was admitted {@code heldMs} ago and has ended. */
     void markFinished(AdmissionRequest r, boolean wasSent, long heldMs) {
         load.markFinished(wasSent, heldMs);
         if (wasSent) {
@@ -64,7 +63,9 @@
         return retries;
     }
 
-    /** Takes note of an arrival, so that others leave its class room if it needs that. */
+    /**
+     * Records an arrival, so that other classes leave headroom if the class of {@code r} needs it.
+     */
     void recordArrival(AdmissionRequest r, Capacity capacity, long nowMs) {
         latencySensitive.recordArrival(r, queue(r), capacity, nowMs);
     }
@@ -89,7 +90,7 @@
         return classes.values().stream().mapToInt(q -> q.size(team)).sum();
     }
 
-    /** Tells whether {@code r} may be let in past all that waits. */
+    /** Returns whether {@code r} may be admitted at once, before all queued requests. */
     boolean canAdmitNow(AdmissionRequest r, Capacity capacity, int reserved) {
         ClassQueue own = queue(r);
         double startTime = Math.max(virtualTime, own.servedSlotMs());
@@ -102,14 +103,14 @@
         return own.size(r.team()) == 0 && freeSlotsFor(r, capacity, reserved) - ahead >= 1;
     }
 
-    /** Charges the class of {@code r}, which did not wait. */
+    /** Charges the class of {@code r}, which was admitted without queueing. */
     void chargeUnqueued(AdmissionRequest r, Capacity capacity) {
         ClassQueue q = queue(r);
         q.advanceTo(virtualTime);
         charge(q, r, capacity);
     }
 
-    /** Returns the next request that there is a place for, if any. */
+    /** Returns the next request for which a slot is free, if any. */
     Optional<AdmissionRequest> next(Capacity capacity, int reserved) {
         return classes.values().stream()
                 .flatMap(q -> q.next(r -> hasSlot(r, capacity, reserved)).stream())
@@ -118,7 +119,7 @@
                                 .thenComparingLong(AdmissionRequest::firstTokenDueMs));
     }
 
-    /** Takes out {@code r}, which is let in, and charges its class and team. */
+    /** Removes {@code r}, which is admitted, and charges its class and team. */
     void serve(AdmissionRequest r, Capacity capacity, long nowMs) {
         ClassQueue q = queue(r);
         q.serve(r, nowMs);
@@ -126,17 +127,19 @@
     }
 
     /**
-     * Charges a class by the time that its requests hold a place, as seen lately.
+     * Charges a class the recent mean time that its requests occupy a slot.
      *
-     * <p>The most tokens that a request may have would charge a class for what its callers ask for
-     * and don't get: two classes of one cap may differ ten times in what they use.
+     * <p>The maximum token count of a request would charge the class for tokens that its callers
+     * request but don't get: two classes with the same maximum may differ ten times in their usage.
      */
     private void charge(ClassQueue q, AdmissionRequest r, Capacity capacity) {
         virtualTime = Math.max(virtualTime, q.servedSlotMs());
         q.charge(q.holdTime().meanMs(r.maxTokens() * capacity.stepMs()));
     }
 
-    /** Predicts for {@code r}, which has just come, behind all that is queued before it. */
+    /**
+     * Predicts the times of {@code r}, which has just arrived, after all requests queued before it.
+     */
     Prediction predict(AdmissionRequest r, Capacity capacity, long nowMs) {
         double waits = queue(r).requestsAhead(r, queue(r).size(r.team())) + 1;
         return predict(r, waits, capacity, nowMs);
@@ -148,7 +151,7 @@
         return Prediction.of(r, waits * headWaitMs, capacity, holdMs(capacity));
     }
 
-    /** Tells whether {@code r} would be late even if it were sent now. */
+    /** Returns whether {@code r} would be late even if it were sent now. */
     boolean isTooLate(AdmissionRequest r, Capacity capacity, long nowMs) {
         if (!settings.queueDeadlines()) {
             return false;
@@ -159,11 +162,11 @@
     }
 
     /**
-     * Takes out those that can no longer meet their targets and adds them to {@code late}.
+     * Removes the requests that can no longer meet their targets and adds them to {@code late}.
      *
-     * <p>Failure guarded against: to predict for each team looks at all teams, and with thousands
-     * of them waiting one tick would last longer than the time to the next. Only so many are
-     * predicted for in a tick, in turn; what can't be in time any more is found at once.
+     * <p>A prediction for one team iterates over all teams; with thousands of queued teams a tick
+     * would last longer than the tick interval. Each tick therefore predicts for a limited number
+     * of teams, in rotation; requests that would be late even if sent now are found in every tick.
      */
     void removeLate(Capacity capacity, long nowMs, List<AdmissionRequest> late) {
         if (!settings.queueDeadlines()) {
@@ -193,11 +196,12 @@
     }
 
     /**
-     * Takes out what is predicted to be late of one team.
+     * Removes the requests of one team that are predicted to be late.
      *
-     * <p>Only a team's first and last are tried, until both hold: the first has least time left,
-     * the last waits longest, and one between them comes to the front before it is due. Without
-     * class shares that last does not hold; what is late then waits for the front.
+     * <p>Checks only the team's first and last request, until both are in time: the first has the
+     * least time left, the last waits longest, and each one in between reaches the front before it
+     * is due. Without class shares the latter does not hold; late requests then stay until they
+     * reach the front.
      */
     private void removeLate(
             ClassQueue q, TeamId id, Capacity capacity, long nowMs, List<AdmissionRequest> late) {
@@ -226,7 +230,7 @@
         return freeSlotsFor(r, capacity, reserved) >= 1;
     }
 
-    /** Returns the places that {@code r} may use of those that {@code capacity} has free. */
+    /** Returns the free slots of {@code capacity} that {@code r} may use. */
     private double freeSlotsFor(AdmissionRequest r, Capacity capacity, int reserved) {
         double extra =
                 latencySensitive.extraSlots(
--- a/masticweir/src/main/java/org/masticweir/limits/Prediction.java
+++ b/masticweir/src/main/java/org/masticweir/limits/Prediction.java
@@ -1,8 +1,13 @@
 package org.masticweir.limits;
 
-/** When a request would get its first token and its end if it were queued now; immutable. */
+/**
+ * Predicted times until the first token and the end of a request if it were queued now; immutable.
+ */
 record Prediction(double waitMs, double firstTokenMs, double finishMs) {
-    /** Predicts for {@code r}, which is sent in {@code waitMs}, without delay in the engine. */
+    /**
+     * Predicts the times of {@code r}, which is sent after {@code waitMs} and does not wait in the
+     * engine.
+     */
     static Prediction of(AdmissionRequest r, double waitMs, Capacity capacity, double holdMs) {
         double firstMs =
                 capacity.engines() == 0
--- a/masticweir/src/main/java/org/masticweir/limits/RecoveryAdmissionController.java
+++ b/masticweir/src/main/java/org/masticweir/limits/RecoveryAdmissionController.java
@@ -20,12 +20,12 @@
 import org.masticweir.limits.RecoveryDecision.Wait;
 
 /**
- * Lets recoveries start ahead of new work, but only so many at a time.
+ * Starts recoveries before new requests, but only a limited number at a time.
  *
- * <p>Failure guarded against: a rack is lost and all its generations are sent to the survivors at
- * once; each is computed again from its first token, all survivors are busy with prompts, their own
- * streams stall and are taken for lost in turn. A recovery counts from its start until its first
- * new token, and no more than a share of this router's places may be in that state.
+ * <p>Prevents that after the loss of a rack all its generations are sent to the remaining engines
+ * at once: each is recomputed from its first token, all remaining engines are busy with prefill,
+ * and their own streams stall and are considered lost in turn. A recovery counts as starting until
+ * its first new token, and starting recoveries may use only a share of this router's slots.
  *
  * <p>Thread-safe: each call holds one lock for a short time.
  */
@@ -33,7 +33,10 @@
     private static final int MIN_STARTING = 2;
     private static final int MAX_WAITING = 8_192;
 
-    /** Time after which a start no longer counts, should its first token never be reported. */
+    /**
+     * Time after which a recovery no longer counts as starting if its first token is never
+     * reported.
+     */
     private static final long START_TIMEOUT_MS = 10_000;
 
     private final CapacitySource capacity;
@@ -56,12 +59,12 @@
         return new RecoveryAdmissionController(capacity, settings);
     }
 
-    /** Returns an admission with the default tuning. */
+    /** Returns a controller with the default settings. */
     public static RecoveryAdmissionController create(CapacitySource capacity) {
         return create(capacity, LimitSettings.defaults());
     }
 
-    /** Decides on a lost generation; one that was starting already is taken as lost again. */
+    /** Decides on a lost generation; if its recovery was already starting, it was lost again. */
     public synchronized RecoveryDecision offer(RecoveryRequest r, long nowMs) {
         checkNotNull(r, "r");
         recordEnd(r.generation());
@@ -80,12 +83,12 @@
         return new Wait(r.generation());
     }
 
-    /** Takes note that a recovered generation has its first new token. */
+    /** Marks a recovery as resumed: its first new token has arrived. */
     public synchronized void recordResume(GenerationId generation) {
         starting.remove(checkNotNull(generation, "generation"));
     }
 
-    /** Takes note that a generation needs no recovery any more, whatever its state. */
+    /** Removes a generation that needs no recovery any more, whatever its state. */
     public synchronized void recordEnd(GenerationId generation) {
         starting.remove(checkNotNull(generation, "generation"));
         RecoveryRequest r = waitingByGeneration.remove(generation);
@@ -94,7 +97,7 @@
         }
     }
 
-    /** Decides on what waits. */
+    /** Decides on the waiting recoveries. */
     public synchronized ImmutableList<RecoveryDecision> tick(long nowMs) {
         starting.values().removeIf(s -> nowMs - s.sinceMs >= START_TIMEOUT_MS);
         ImmutableList.Builder<RecoveryDecision> decisions = ImmutableList.builder();
@@ -116,7 +119,10 @@
         return decisions.build();
     }
 
-    /** Returns the recoveries of {@code model} that wait and go ahead of new work. */
+    /**
+     * Returns the number of waiting recoveries of {@code model}, which take precedence over new
+     * requests.
+     */
     public synchronized int waitingCount(ModelId model) {
         return (int) waitingCount.stream().filter(r -> r.model().equals(model)).count();
     }
@@ -141,6 +147,6 @@
         return Math.max(MIN_STARTING, (int) (settings.recoveryShare() * c.fairShareSlots()));
     }
 
-    /** A recovery that was sent and has no new token yet. */
+    /** A recovery that was sent and has produced no new token yet. */
     private record Starting(ModelId model, long sinceMs) {}
 }
--- a/masticweir/src/main/java/org/masticweir/limits/RecoveryDecision.java
+++ b/masticweir/src/main/java/org/masticweir/limits/RecoveryDecision.java
@@ -5,9 +5,9 @@
 import org.masticweir.error.ErrorCode;
 import org.masticweir.id.GenerationId;
 
-/** What becomes of a recovery; immutable. */
+/** The decision on a recovery; immutable. */
 public sealed interface RecoveryDecision {
-    /** Returns the generation decided on. */
+    /** Returns the generation that was decided on. */
     GenerationId generation();
 
     /** The generation may be sent to another engine now. */
@@ -24,7 +24,7 @@
         }
     }
 
-    /** The generation can't go on in time. */
+    /** The generation can't be recovered in time. */
     record GiveUp(GenerationId generation, ErrorCode code) implements RecoveryDecision {
         public GiveUp {
             checkNotNull(generation, "generation");
--- a/masticweir/src/main/java/org/masticweir/limits/RecoveryRequest.java
+++ b/masticweir/src/main/java/org/masticweir/limits/RecoveryRequest.java
@@ -8,10 +8,11 @@
 import org.masticweir.id.ModelId;
 
 /**
- * A generation whose engine was lost and that asks to go on elsewhere; immutable.
+ * A generation whose engine was lost and that has to continue on another engine; immutable.
  *
- * @param contextTokens tokens of prompt and accepted output, computed again before the next one
- * @param dueMs when its whole answer is due
+ * @param contextTokens tokens of the prompt and the accepted output, recomputed before the next
+ *     token
+ * @param dueMs time at which its whole answer is due
  */
 public record RecoveryRequest(
         GenerationId generation,
--- a/masticweir/src/main/java/org/masticweir/limits/RetrySchedule.java
+++ b/masticweir/src/main/java/org/masticweir/limits/RetrySchedule.java
@@ -3,11 +3,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Tells refused callers when to come back, so that they don't come back together.
+ * Computes the retry delays of refused callers so that they don't retry at the same time.
  *
- * <p>Failure guarded against: callers refused in one second return in one second and are refused
- * again. Each refusal books the next moment at which one more request could be served, so the time
- * grows with all that wait or were sent away, and jitter breaks up what is left in step.
+ * <p>Prevents that callers refused within one second retry within one second and are refused again.
+ * Each refusal reserves the next time at which one more request could be served, so the delay grows
+ * with the number of queued and refused requests; jitter spreads retries that would still coincide.
  *
  * <p>Not thread-safe.
  */
@@ -23,7 +23,7 @@
         this.random = random;
     }
 
-    /** Returns how long to stay away, with {@code backlogMs} of work waiting now. */
+    /** Returns the retry delay when the queue holds {@code backlogMs} of work. */
     long reserve(double backlogMs, double serviceIntervalMs, long nowMs) {
         double start = Math.max(reservedUntilMs, nowMs + backlogMs);
         reservedUntilMs = Math.min(start + serviceIntervalMs, nowMs + MAX_RETRY_AFTER_MS);
--- a/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
+++ b/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
@@ -12,15 +12,15 @@
 import org.masticweir.routing.RoutingSnapshot;
 
 /**
- * Reads capacity from the routing snapshot in force and this router's own sends.
+ * Computes capacity from the current routing snapshot and this router's own sends.
  *
- * <p>Failure guarded against: all routers see the same free places in the same report and all fill
- * them. Each takes a part of them only; more than an even part, since arrivals come in bursts and
- * seldom to all routers at once. Sends made since the report count in full.
+ * <p>Prevents that all routers see the same free slots in the same report and all fill them. Each
+ * router fills only a share of them. It is larger than an even share, since requests arrive in
+ * bursts and seldom at all routers at once. Sends since the report count in full.
  *
- * <p>Failure guarded against: what routers together send too much waits within the engines, each
- * sequence that ends is replaced by its router, and the wait never goes down again. Each router
- * therefore holds back its even part of what waits there.
+ * <p>Prevents a permanent queue within the engines: if the routers together send too many
+ * sequences, each router replaces its own sequences as they end and the queue never shrinks. Each
+ * router therefore subtracts its even share of the sequences that wait there.
  *
  * <p>Thread-safe.
  */
@@ -29,7 +29,7 @@
     private final InFlight inFlight;
     private final IntSupplier routers;
 
-    /** How many times its even part of the free places one router may fill from one report. */
+    /** Multiple of its even share of the free slots that one router may fill from one report. */
     private final double burstFactor;
 
     private SnapshotCapacity(
@@ -44,9 +44,10 @@
     }
 
     /**
-     * Returns a source for a router that shares the engines with others.
+     * Returns a source for a router that shares the engines with other routers.
      *
-     * @param routers how many routers, this one included, send to the engines of the snapshot
+     * @param routers number of routers, including this one, that send to the engines of the
+     *     snapshot
      */
     public static SnapshotCapacity create(
             Supplier<RoutingSnapshot> snapshot,
@@ -56,7 +57,7 @@
         return new SnapshotCapacity(snapshot, inFlight, routers, settings.burstFactor());
     }
 
-    /** Returns a source with the default tuning. */
+    /** Returns a source with the default settings. */
     public static SnapshotCapacity create(
             Supplier<RoutingSnapshot> snapshot, InFlight inFlight, IntSupplier routers) {
         return create(snapshot, inFlight, routers, LimitSettings.defaults());
@@ -92,7 +93,7 @@
         return Math.max(0, e.usableCapacity() - reportedLoad(e));
     }
 
-    /** Returns the sequences that wait for a place within the engine. */
+    /** Returns the number of sequences that wait for a slot within the engine. */
     private static double waitingInEngine(EngineView e) {
         return Math.max(0, reportedLoad(e) - e.usableCapacity());
     }
--- a/masticweir/src/main/java/org/masticweir/limits/TeamQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/TeamQueue.java
@@ -7,17 +7,17 @@
 import java.util.TreeSet;
 import java.util.function.ToLongFunction;
 
-/** One team's waiting requests of one class, in a given order; not thread-safe. */
+/** The queued requests of one team in one class, in a fixed order; not thread-safe. */
 final class TeamQueue {
     private final NavigableSet<AdmissionRequest> waiting;
 
-    /** Tokens served per unit of weight, on the class's virtual clock. */
+    /** Tokens served per unit of weight, in the virtual time of the class. */
     private double servedPerWeight;
 
     /**
      * Creates an empty queue.
      *
-     * @param byDeadline whether the earliest deadline goes first, or else the earliest arrival
+     * @param byDeadline whether to order by deadline; otherwise by arrival
      */
     TeamQueue(double servedPerWeight, boolean byDeadline) {
         ToLongFunction<AdmissionRequest> order =
--- a/masticweir/src/main/java/org/masticweir/limits/TeamShares.java
+++ b/masticweir/src/main/java/org/masticweir/limits/TeamShares.java
@@ -14,18 +14,19 @@
 import org.masticweir.id.TeamId;
 
 /**
- * Settles fair shares between teams over all routers, from digests of each router's top users.
+ * Computes fair shares of teams over all routers, from usage digests of each router's top teams.
  *
- * <p>Failure guarded against: a large team spreads its burst over all routers, and on each of them
- * it looks like one team among others. Its use summed over the digests is above its share, and its
- * weight falls on every router until it is back. A team too small for any digest keeps its weight.
+ * <p>Without this, a large team that spreads its burst over all routers looks like an average team
+ * on each of them. Its usage summed over the digests is above its share, and its weight is reduced
+ * on every router until the usage is back within the share. A team too small for any digest keeps
+ * its weight.
  *
- * <p>Use: {@link #recordUsage} as tokens flow; every second or so send {@link #digest} to peers,
- * {@link #merge} theirs, and {@link #updateWeights}. Thread-safe; {@link #weight} and {@link
- * #isOverShare} take no lock.
+ * <p>Usage: call {@link #recordUsage} as tokens are produced; every second or so send {@link
+ * #digest} to peers, {@link #merge} their digests and call {@link #updateWeights}. Thread-safe;
+ * {@link #weight} and {@link #isOverShare} take no lock.
  */
 public final class TeamShares implements TeamWeights {
-    /** Time in which the memory of a use falls to 1/e, in ms. */
+    /** Time in which recorded usage decays to 1/e, in ms. */
     private static final double DECAY_MS = 10_000;
 
     private static final double MS_PER_S = 1_000;
@@ -34,10 +35,13 @@
     private static final long DIGEST_TTL_MS = 30_000;
     private static final double MIN_CORRECTION = 0.05;
 
-    /** Correction below which a team is over its share, and not by the chance of a few seconds. */
+    /**
+     * Correction below which a team counts as over its share; above it the excess may be a random
+     * variation over a few seconds.
+     */
     private static final double OVER_SHARE_CORRECTION = 0.7;
 
-    /** Use below which a team no longer counts as active, in tokens a second. */
+    /** Usage below which a team no longer counts as active, in tokens per second. */
     private static final double ACTIVE_TOKENS_PER_S = 0.01;
 
     private final RouterId self;
@@ -52,9 +56,9 @@
     }
 
     /**
-     * Returns shares in which no team has used anything.
+     * Returns shares without any usage.
      *
-     * @param share a team's declared share, at least 1 also for a team that is not declared
+     * @param share declared share of a team, at least 1 also for an undeclared team
      */
     public static TeamShares create(RouterId self, ToIntFunction<TeamId> share) {
         return new TeamShares(self, share);
@@ -71,7 +75,7 @@
         return corrections.getOrDefault(team, 1.0) < OVER_SHARE_CORRECTION;
     }
 
-    /** Adds {@code tokens} to the use of {@code team}. */
+    /** Adds {@code tokens} to the usage of {@code team}. */
     public synchronized void recordUsage(TeamId team, int tokens, long nowMs) {
         checkNotNull(team, "team");
         if (ownUsage.size() >= MAX_TEAMS && !ownUsage.containsKey(team)) {
@@ -80,7 +84,7 @@
         ownUsage.computeIfAbsent(team, t -> new DecayingSum()).add(tokens, nowMs);
     }
 
-    /** Returns what to tell the other routers. */
+    /** Returns the usage digest to send to the other routers. */
     public synchronized TeamUsageDigest digest(long nowMs) {
         List<TeamUsage> usages = ownUsages(nowMs);
         double total = usages.stream().mapToDouble(TeamUsage::tokensPerS).sum();
@@ -88,7 +92,7 @@
         return new TeamUsageDigest(top, total, usages.size());
     }
 
-    /** Takes the digest of another router in place of its earlier one. */
+    /** Stores the digest of another router in place of its earlier one. */
     public synchronized void merge(RouterId from, TeamUsageDigest digest, long nowMs) {
         checkNotNull(from, "from");
         checkNotNull(digest, "digest");
@@ -98,7 +102,7 @@
         }
     }
 
-    /** Works out all weights anew. */
+    /** Recomputes all weights. */
     public synchronized void updateWeights(long nowMs) {
         received.values().removeIf(r -> nowMs - r.atMs >= DIGEST_TTL_MS);
         List<TeamUsageDigest> digests = new ArrayList<>();
@@ -144,10 +148,10 @@
                 .ifPresent(ownUsage::remove);
     }
 
-    /** A digest and when it came. */
+    /** A digest and its time of arrival. */
     private record ReceivedDigest(TeamUsageDigest digest, long atMs) {}
 
-    /** A sum whose parts fade with age. */
+    /** A sum that decays exponentially. */
     private static final class DecayingSum {
         private double sum;
         private long atMs;
--- a/masticweir/src/main/java/org/masticweir/limits/TeamUsage.java
+++ b/masticweir/src/main/java/org/masticweir/limits/TeamUsage.java
@@ -5,7 +5,7 @@
 
 import org.masticweir.id.TeamId;
 
-/** How many tokens a second a team uses on one router; immutable. */
+/** The tokens per second that a team uses on one router; immutable. */
 public record TeamUsage(TeamId team, double tokensPerS) {
     public TeamUsage {
         checkNotNull(team, "team");
--- a/masticweir/src/main/java/org/masticweir/limits/TeamUsageDigest.java
+++ b/masticweir/src/main/java/org/masticweir/limits/TeamUsageDigest.java
@@ -7,14 +7,14 @@
 import java.util.List;
 
 /**
- * What one router tells the others of its teams' use; immutable.
+ * Summary of the usage of teams on one router, sent to the other routers; immutable.
  *
- * @param top the teams that use most, at most {@link #MAX_TOP}
- * @param totalTokensPerS use of all teams
- * @param activeTeams teams that used anything lately
+ * @param top the teams with the highest usage, at most {@link #MAX_TOP}
+ * @param totalTokensPerS usage of all teams
+ * @param activeTeams teams with recent usage
  */
 public record TeamUsageDigest(List<TeamUsage> top, double totalTokensPerS, int activeTeams) {
-    /** Most teams in one digest; bounds what an exchange costs at any number of teams. */
+    /** Most teams in one digest; bounds the cost of an exchange for any number of teams. */
     public static final int MAX_TOP = 16;
 
     public TeamUsageDigest {
--- a/masticweir/src/main/java/org/masticweir/limits/TeamWeights.java
+++ b/masticweir/src/main/java/org/masticweir/limits/TeamWeights.java
@@ -2,13 +2,13 @@
 
 import org.masticweir.id.TeamId;
 
-/** Tells how teams are to be served against each other. Implementations are thread-safe. */
+/** Weights of the teams in the queues. Implementations are thread-safe. */
 @FunctionalInterface
 public interface TeamWeights {
     /** Returns the weight of {@code team} in the queues, above 0. */
     double weight(TeamId team);
 
-    /** Tells whether {@code team} used far more than its share lately. */
+    /** Returns whether the recent usage of {@code team} is far above its share. */
     default boolean isOverShare(TeamId team) {
         return false;
     }
--- a/masticweir/src/main/java/org/masticweir/limits/package-info.java
+++ b/masticweir/src/main/java/org/masticweir/limits/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Decides what work is let in, in which order, and what is refused early enough to be of use.
+ * Admission control: decides which requests are admitted, in which order, and which are refused
+ * early enough for the caller to retry.
  *
- * <p>Class targets drive it: work that is predicted to miss its target is refused at once with the
- * time to come back, classes and teams share what there is, and recoveries of lost generations go
- * ahead of new work, metered.
+ * <p>The targets of the classes determine the decisions: a request that is predicted to miss its
+ * target is refused at once with a retry delay, classes and teams share the capacity, and
+ * recoveries of lost generations start before new requests, in limited numbers.
  */
 package org.masticweir.limits;
--- a/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
@@ -24,7 +24,7 @@
 import org.masticweir.limits.AdmissionDecision.Queued;
 import org.masticweir.limits.AdmissionDecision.Refused;
 
-/** Tests what is let in, in which order, and what is refused when. */
+/** Tests which requests are admitted, in which order, and when requests are refused. */
 class AdmissionTest {
     private static final ModelId MODEL = ModelId.of("report");
     private static final WorkClass LOOKUPS = workClass("lookups", 340, 3_000);
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Work that can't be served in time. */
+    /** Requests that can't be served in time. */
     @Nested
     class PredictedLate {
         @Test
@@ -106,9 +106,8 @@
         }
 
         /*
-         * After a short outage the system is overloaded in waves. Hundreds of callers are refused
-         * within a second, come back after the same time and are refused together again.
-         * Cause: one retry-after for all.
+         * Guards against retry waves after a short outage: hundreds of callers are refused within a
+         * second, all with the same retry delay, retry together and are refused together again.
          */
         @Test
         void retriesAreSpreadByTheBacklog() {
@@ -121,20 +120,20 @@
                     perSecond[(int) (r.retryAfterMs() / 1_000)]++;
                 }
             }
-            assertTrue(max > 8_000, "last return after " + max + " ms");
+            assertTrue(max > 8_000, "last retry after " + max + " ms");
             for (int n : perSecond) {
-                assertTrue(n <= 2 * SLOTS, n + " returns in one second");
+                assertTrue(n <= 2 * SLOTS, n + " retries in one second");
             }
         }
     }
 
-    /** More work than engines can take. */
+    /** More requests than the engines can serve. */
     @Nested
     class Overload {
         /*
-         * Tablets time out while advisers stand at the door. Reports arrive at twice what engines
-         * can take, all places are held by reports, and lookups queue behind them.
-         * Cause: no room is kept and nothing is refused, so every queue grows.
+         * Guards against timeouts of lookups in overload. Reports arrive at twice the rate that the
+         * engines can serve, occupy all slots, and lookups queue behind them. Without reserved
+         * slots and refusals every queue grows.
          */
         @Test
         void twiceTheLoadKeepsLookupsWithinTarget(TestReporter reporter) {
@@ -159,13 +158,13 @@
         }
     }
 
-    /** Teams that ask for more than there is. */
+    /** Teams whose demand exceeds the capacity. */
     @Nested
     class Fairness {
         /*
-         * Small teams get errors whenever one large team submits its month's work. The burst fills
-         * the queue and whoever comes after it is predicted to be late.
-         * Cause: one queue in the order of arrival.
+         * Guards against errors for small teams while one large team submits a month's work. With a
+         * single queue in order of arrival the burst fills the queue, and every later request is
+         * predicted to be late.
          */
         @Test
         void aBurstOfOneTeamDoesNotDelayOthers() {
@@ -194,7 +193,7 @@
         }
     }
 
-    /** What became of the work of one run. */
+    /** Results of one simulation. */
     private record Outcome(
             int lookups,
             int lookupsInTime,
@@ -202,14 +201,14 @@
             int reports,
             int reportsInTime,
             int reportsLate) {
-        /** Returns how many reports the places can end at most, besides all lookups. */
+        /** Returns how many reports the slots can finish at most, in addition to all lookups. */
         double slotsLeftForReports() {
             double slotMs = SLOTS * Simulation.END_MS - lookups * Simulation.LOOKUP_HOLD_MS;
             return slotMs / HOLD_MS;
         }
     }
 
-    /** Offers work at a steady rate and ends it after the time it holds its place. */
+    /** Offers requests at a steady rate and ends each one after its hold time. */
     private final class Simulation {
         private static final int END_MS = 20_000;
         private static final int TICK_MS = 5;
--- a/masticweir/src/test/java/org/masticweir/limits/BatchEngine.java
+++ b/masticweir/src/test/java/org/masticweir/limits/BatchEngine.java
@@ -9,7 +9,10 @@
 import java.util.function.BiConsumer;
 import org.masticweir.engine.LoadReport;
 
-/** A continuously batching engine on a clock that the caller moves: 16 places, late reports. */
+/**
+ * A continuous-batching engine with 16 slots and delayed load reports, on a clock that the caller
+ * advances.
+ */
 final class BatchEngine {
     static final int SLOTS = 16;
     static final int STEP_MS = 30;
@@ -17,7 +20,7 @@
     private static final int CHUNK_TOKENS = 256;
     private static final int REPORT_LAG_MS = 200;
 
-    /** One sequence; {@code priority} is lower for those that the engine takes first. */
+    /** One sequence; the engine starts sequences with a lower {@code priority} first. */
     static final class Sequence {
         final int call;
         private final int priority;
@@ -47,7 +50,10 @@
         waiting.add(s);
     }
 
-    /** Runs to {@code now}; {@code token} gets each sequence that has one, and if it was last. */
+    /**
+     * Runs until {@code now}; {@code token} receives each sequence with a new token and whether it
+     * was its last.
+     */
     void runTo(long now, BiConsumer<Sequence, Boolean> token) {
         if (stepEndsMs >= 0 && now >= stepEndsMs) {
             stepEndsMs = -1;
--- a/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
@@ -20,7 +20,10 @@
 import org.masticweir.limits.AdmissionDecision.Refused;
 import org.masticweir.settings.DaemonSettings;
 
-/** Tests what each switch of the limits turns off: the baselines of the trials. */
+/**
+ * Tests which mechanism each switch of the limits turns off; trials use these settings as
+ * baselines.
+ */
 class LimitTuningTest {
     static final String MINIMAL_SETTINGS =
             String.join(
@@ -84,7 +87,7 @@
         assertEquals(LimitSettings.defaults(), LimitSettings.of(settings.limits()));
     }
 
-    /** What comes first from the queue when one place is free. */
+    /** Which request is admitted first when one slot is free. */
     @Nested
     class Order {
         private String firstOf(AdmissionController a) {
--- a/masticweir/src/test/java/org/masticweir/limits/ManyTeamsTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/ManyTeamsTest.java
@@ -17,7 +17,7 @@
 import org.masticweir.id.TeamId;
 import org.masticweir.id.WorkClassId;
 
-/** Tests a queue in which many teams wait, of which one tick predicts for a few only. */
+/** Tests a queue with so many teams that one tick computes predictions for a part of them only. */
 class ManyTeamsTest {
     private static final int TEAMS = 150;
     private static final int TARGET_MS = 20_000;
@@ -41,7 +41,7 @@
                 0);
     }
 
-    /** The teams that one tick looks at. */
+    /** The teams that one tick checks. */
     @Nested
     class RoundRobin {
         @Test
@@ -60,12 +60,13 @@
         }
     }
 
-    /** A queue that nobody serves. */
+    /** A queue that is not served. */
     @Nested
     class Deadline {
         /*
-         * Callers hang past the moment at which they would have gone elsewhere. Engines are full,
-         * many teams wait, and only some are looked at. Cause: the rest wait for their turn.
+         * Guards against requests that stay queued past their deadline, when their callers could
+         * have retried elsewhere: engines are full, many teams have queued requests, and requests
+         * of teams that a tick doesn't check wait for the rotation.
          */
         @Test
         void noRequestWaitsPastItWithManyTeams() {
@@ -78,7 +79,7 @@
             for (int n = 0; n < TEAMS; n++) {
                 admission.offer(request(n), 0);
             }
-            assertTrue(admission.status().queued() > 128, "many wait");
+            assertTrue(admission.status().queued() > 128, "many requests queued");
             assertEquals(TEAMS, admission.tick(TARGET_MS).size());
             assertEquals(0, admission.status().queued());
         }
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
@@ -32,13 +32,13 @@
 import org.masticweir.routing.SpeedEstimate;
 import org.masticweir.time.ManualClock;
 
-/** Replays the mix of the Spaarstraal example through two routers onto shared engines. */
+/** Replays the request mix of the Spaarstraal example through two routers to shared engines. */
 final class OverloadReplay {
     /** A class of the mix: weight of its arrivals, medians and spread of its lengths. */
     record Profile(
             WorkClass workClass, int weight, double output, double sigma, int template, int own) {}
 
-    /** What became of the calls of one class, or of one class of one team. */
+    /** Results of the calls of one class, or of one class of one team. */
     static final class Tally {
         int offered;
         int inTarget;
@@ -85,7 +85,7 @@
     static final Profile LOOKUPS = profile("lookups", 300, 2_000, 50, 3.2, 0.5, 13, 2);
     static final Profile CONFIRMATIONS = profile("confirmations", 500, 5_000, 20, 8, 0.3, 13, 4);
 
-    /** The routers of a replay, and whether they tell each other of teams' use. */
+    /** The routers of a replay, and whether they exchange the usage of teams. */
     record Fleet(int routers, boolean exchangesUsage) {
         static final Fleet TWO = new Fleet(2, false);
     }
@@ -162,19 +162,19 @@
         }
     }
 
-    /** Returns the sum of what {@code tally} gives of each run. */
+    /** Returns the sum of the results of {@code tally} for each run. */
     static Tally sum(List<OverloadReplay> runs, Function<OverloadReplay, Tally> tally) {
         Tally sum = new Tally();
         runs.stream().map(tally).forEach(sum::add);
         return sum;
     }
 
-    /** Returns what became of a class's calls after the start-up. */
+    /** Returns the results of a class's calls after the warm-up. */
     Tally of(Profile profile) {
         return tally(c -> c.profile == profile);
     }
 
-    /** Returns what became of a class's calls of all teams but the large one. */
+    /** Returns the results of a class's calls of all teams except the large one. */
     Tally ofSmallTeams(Profile profile) {
         return tally(c -> c.profile == profile && !c.team.equals(TEAMS[0]));
     }
@@ -294,7 +294,7 @@
         }
     }
 
-    /** One router: its admission, its chooser and what it last heard of the engines. */
+    /** One router: its admission controller, its chooser and its latest snapshot of the engines. */
     private final class SimulatedRouter {
         private final InFlight inFlight = InFlight.create();
         private final ExpectedDelayChooser chooser;
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
@@ -12,7 +12,10 @@
 import org.masticweir.limits.OverloadReplay.Tally;
 import org.masticweir.settings.DaemonSettings;
 
-/** Replays the mix of the Spaarstraal example at one and two times the load, on and off. */
+/**
+ * Replays the request mix of the Spaarstraal example at one and two times the load, with and
+ * without each mechanism.
+ */
 class OverloadTest {
     private static final ImmutableList<Profile> LONG =
             ImmutableList.of(OverloadReplay.REPORTS, OverloadReplay.LETTERS);
@@ -46,7 +49,7 @@
         return OverloadReplay.sum(runs, r -> r.of(profile));
     }
 
-    /** Prints and returns a replay, a line for each class. */
+    /** Prints and returns a replay, one line for each class. */
     private static List<OverloadReplay> replayAndPrint(
             ImmutableList<Profile> mix, double load, String... lines) {
         List<OverloadReplay> replay = replay(mix, load, lines);
@@ -68,9 +71,9 @@
     @Nested
     class TwiceTheLoad {
         /*
-         * Families wait for letters that never come, while reports are served as ever. Reports
-         * arrive at more than the engines can take; each free place goes to one of them, and all
-         * letters are refused. Cause: the class with the shorter target always went first.
+         * Guards against starvation of letters by reports. Reports arrive at a higher rate than the
+         * engines can serve; if the class with the shorter target is always served first, each free
+         * slot goes to a report and all letters are refused.
          */
         @Test
         void lettersKeepTheirShareBesideReports() {
@@ -81,9 +84,8 @@
         }
 
         /*
-         * Advisers wait at the door for a lookup while reports queue for the same engines. All
-         * places are taken for seconds, and those that come free are too few for a burst of
-         * lookups. Cause: no place is left for work that can't wait for one.
+         * Guards against late lookups while reports queue for the same engines. Without reserved
+         * slots all slots are occupied for seconds, and too few become free for a burst of lookups.
          */
         @Test
         void lookupsAndConfirmationsAreInTimeWhereReportsQueue() {
@@ -98,8 +100,9 @@
         }
 
         /*
-         * Callers hear only after seconds that they should come back later. What can't be served
-         * in time waits until its target has passed. Cause: nothing predicts the wait.
+         * Guards against late refusals. Without a prediction of the wait, a request that can't be
+         * served in time stays queued until its target has passed, and its caller receives the
+         * refusal only after seconds.
          */
         @Test
         void lateRequestsAreRefusedEarly() {
@@ -114,10 +117,13 @@
         }
     }
 
-    /** Each mechanism against the same without it. */
+    /** Each mechanism compared with the same replay without it. */
     @Nested
     class Mechanisms {
-        /** Returns the least part of a class's goodput at 1x that is left at {@code load}. */
+        /**
+         * Returns the lowest ratio, over the classes, of the goodput at {@code load} to the goodput
+         * at 1x.
+         */
         private double minGoodputKept(ImmutableList<Profile> mix, double load, String... lines) {
             List<OverloadReplay> once = replay(mix, 1);
             List<OverloadReplay> more = replayAndPrint(mix, load, lines);
@@ -154,12 +160,13 @@
         }
     }
 
-    /** A large team's burst beside the teams that ask for little. */
+    /** A large team's burst together with teams of low usage. */
     @Nested
     class Burst {
         /*
-         * Reports of small teams are refused whenever the large one submits its season's work:
-         * more than twice what the engines take. Cause: teams are served in the order of arrival.
+         * Guards against refused reports of small teams while the large team submits a season's
+         * work, more than twice the rate that the engines can serve. This happens if teams are
+         * served in order of arrival.
          */
         @Test
         void smallTeamsKeepTheirTargets() {
@@ -171,9 +178,9 @@
         }
 
         /*
-         * With more routers the same burst costs small teams their targets again: each router sees
-         * an eighth of it, which is hardly above the large team's share there. Cause: the routers
-         * don't know of each other's part.
+         * Guards against the same fault with more routers: each router receives an eighth of the
+         * burst, which is hardly above the large team's share there. Without the usage of the other
+         * routers it does not reduce the team's weight.
          */
         @Test
         void usageExchangeKeepsTargetsWithEightRouters() {
--- a/masticweir/src/test/java/org/masticweir/limits/RecoveryAdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/RecoveryAdmissionTest.java
@@ -43,9 +43,9 @@
     @Nested
     class LostRack {
         /*
-         * A rack is lost and soon after streams on healthy engines stall and are moved too. All lost
-         * generations were sent to the survivors together, which computed nothing but prompts.
-         * Cause: recoveries without a limit on how many start at a time.
+         * Guards against the loss of healthy streams after the loss of a rack. Without a limit on
+         * starting recoveries all lost generations are sent to the remaining engines together,
+         * which then compute only prompts, so that their own streams stall and are moved too.
          */
         @Test
         void startsAFewAtATimeShortestTargetFirst() {
--- a/masticweir/src/test/java/org/masticweir/limits/SnapshotCapacityTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/SnapshotCapacityTest.java
@@ -16,7 +16,7 @@
 import org.masticweir.routing.RoutingSnapshot;
 import org.masticweir.routing.SpeedEstimate;
 
-/** Tests what part of the engines one router takes for its own. */
+/** Tests which share of the engines' slots one router may use. */
 class SnapshotCapacityTest {
     private static final DomainId HOME = DomainId.of("d1");
     private static final ModelId MODEL = ModelId.of("report");
@@ -31,7 +31,7 @@
         return RoutingSnapshot.builder(HOME, 0).add(e).build();
     }
 
-    /** Several routers before one engine. */
+    /** Several routers that share one engine. */
     @Nested
     class Shared {
         @Test
@@ -47,9 +47,10 @@
         }
 
         /*
-         * Reports are let in and late though the queue is short. Routers that saw one free place
-         * both filled it; from then on a sequence waits within the engine, and each that ends is
-         * replaced at once. Cause: what waits there was not counted against new sends.
+         * Guards against reports that are admitted and late though the queue is short. Routers that
+         * saw one free slot both filled it; from then on a sequence waits within the engine, and
+         * each one that ends is replaced at once, if waiting sequences are not subtracted from the
+         * free slots.
          */
         @Test
         void sequencesThatWaitInEnginesReduceFreeSlotsOfAllRouters() {
--- a/masticweir/src/test/java/org/masticweir/limits/TeamSharesTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/TeamSharesTest.java
@@ -8,7 +8,7 @@
 import org.masticweir.id.RouterId;
 import org.masticweir.id.TeamId;
 
-/** Tests weights that follow from use on all routers. */
+/** Tests weights computed from the usage on all routers. */
 class TeamSharesTest {
     private static final TeamId BIG = TeamId.of("big");
     private static final TeamId SMALL = TeamId.of("small");
@@ -17,7 +17,7 @@
         return TeamShares.create(RouterId.of(router), t -> 1);
     }
 
-    /** A team spreads its work over all routers. */
+    /** A team spreads its requests over all routers. */
     @Nested
     class Spread {
         @Test
