--- a/masticweir/src/main/java/org/masticweir/claims/BatchLimits.java
+++ b/masticweir/src/main/java/org/masticweir/claims/BatchLimits.java
@@ -3,17 +3,17 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Bounds on the group commit of one router.
+ * Limits of one router's group commit.
  *
- * @param maxRows rows in one transaction
+ * @param maxRows maximum number of rows in one transaction
  * @param waitMs how long the first row waits for others
  * @param lazyWaitMs the same for rows that no caller waits for
- * @param queueRows rows that wait with a caller
- * @param lazyRows rows that wait without one
- * @param inFlight transactions under way at once
- * @param writesPerSecond this router's part of the table's writes, in transactions
- * @param failuresToPause transactions in a row without a usable answer that count as an outage
- * @param pauseMs how long the table is left alone before the next try during an outage
+ * @param queueRows maximum number of queued rows that a caller waits for
+ * @param lazyRows maximum number of queued rows that no caller waits for
+ * @param inFlight maximum number of concurrent transactions
+ * @param writesPerSecond this router's share of the table's write rate, in transactions
+ * @param failuresToPause transactions in a row without a usable response that count as an outage
+ * @param pauseMs how long to wait during an outage before the next attempt
  */
 public record BatchLimits(
         int maxRows,
@@ -40,7 +40,7 @@
         checkArgument(pauseMs >= 1, "pause %s ms", pauseMs);
     }
 
-    /** Returns these limits with another wait of the first row. */
+    /** Returns a copy of these limits with another wait of the first row. */
     public BatchLimits withWaitMs(long ms) {
         return new BatchLimits(
                 maxRows,
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimAction.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimAction.java
@@ -4,32 +4,35 @@
 
 import org.masticweir.error.MasticweirException;
 
-/** What a claim's state machine asks for. */
+/** An action that a claim's state machine requests. */
 public sealed interface ClaimAction {
-    /** Write this and tell the outcome under its ticket. */
+    /** Write this row and report the outcome under the ticket of the write. */
     record Write(ClaimWrite write) implements ClaimAction {
         public Write {
             checkNotNull(write, "write");
         }
     }
 
-    /** The claim stands: the router may send until this time. */
+    /** The claim is committed; the router may send the request until {@code sendBeforeMs}. */
     record Grant(long sendBeforeMs) implements ClaimAction {}
 
-    /** Another submission has the claim: join it at its owner or pass on what the row stores. */
+    /**
+     * Another submission holds the claim: join it at its owner, or return the result stored in the
+     * row.
+     */
     record ReportAlreadyClaimed(ClaimRow row) implements ClaimAction {
         public ReportAlreadyClaimed {
             checkNotNull(row, "row");
         }
     }
 
-    /** Answer the caller with this; nothing was sent and nothing will be. */
+    /** Refuse the caller with this error; nothing was sent or will be sent. */
     record Refuse(MasticweirException error) implements ClaimAction {
         public Refuse {
             checkNotNull(error, "error");
         }
     }
 
-    /** Nothing is left to do for this claim. */
+    /** Remove this claim; it needs no further action. */
     record Remove() implements ClaimAction {}
 }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimBatcher.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimBatcher.java
@@ -25,15 +25,15 @@
 import org.masticweir.store.TransactionOutcome;
 
 /**
- * Decides which claims of one router share a transaction, and when.
+ * Decides which claims of one router share a transaction, and when it is sent.
  *
- * <p>{@link #offer} queues a write, {@link #next} gives the next transaction that is due, and
- * {@link #onOutcome} turns a transaction's outcome into the outcomes of its claims. A claim whose
- * row differs fails alone: the others go into the next group. Not thread-safe: owned by the control
- * thread.
+ * <p>{@link #offer} queues a write, {@link #next} returns the next transaction that is due, and
+ * {@link #onOutcome} converts the outcome of a transaction to the outcomes of its claims. A claim
+ * whose row differs fails alone; the others are queued again for the next group. Not thread-safe:
+ * owned by the control thread.
  */
 final class ClaimBatcher {
-    /** A queued write and since when it waits. */
+    /** A queued write and the time from which it waits. */
     private record Queued(BatchItem item, long sinceMs) {
         RowKey key() {
             return item.write().key();
@@ -55,10 +55,10 @@
     }
 
     /**
-     * Queues {@code item}, or returns after how many milliseconds to come back.
+     * Queues {@code item}, or returns the delay in milliseconds before a retry.
      *
-     * <p>Refuses at once in place of letting a caller wait for a write that can't come in time:
-     * when the queue is full, and while the table is taken to be out.
+     * <p>Refuses at once, so that a caller doesn't wait for a write that can't be made in time,
+     * when the queue is full and while the table is unavailable.
      */
     OptionalLong offer(BatchItem item, long nowMs) {
         boolean isUrgent = item.write().urgent();
@@ -73,7 +73,7 @@
         return OptionalLong.empty();
     }
 
-    /** Returns the group to be committed now, if one is due. */
+    /** Returns the group to commit now, if one is due. */
     Optional<ClaimGroup> next(long nowMs) {
         if (dueMs(nowMs) > nowMs) {
             return Optional.empty();
@@ -90,13 +90,16 @@
         return Optional.of(new ClaimGroup(lastGroup, Lists.transform(chosen, Queued::item)));
     }
 
-    /** Returns when {@link #next} should be asked again, if there is anything to wait for. */
+    /**
+     * Returns the time at which to call {@link #next} again, if a write is queued that can become
+     * due.
+     */
     OptionalLong nextDueMs(long nowMs) {
         long due = dueMs(nowMs);
         return due == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(due);
     }
 
-    /** Takes the outcome of a group and returns what it means for its claims. */
+    /** Returns the outcomes of the claims in a group whose transaction had {@code outcome}. */
     List<BatchEvent> onOutcome(long group, TransactionOutcome outcome, long nowMs) {
         List<Queued> items = inFlight.remove(group);
         checkArgument(items != null, "group %s is not under way", group);
@@ -123,7 +126,7 @@
         return nowMs < pausedUntilMs;
     }
 
-    /** Returns how long the rows that callers wait for take, as the budget allows. */
+    /** Returns how long the write budget needs for the queued rows that callers wait for. */
     long urgentQueueMs() {
         return budget.durationMs(urgent.size() / limits.maxRows());
     }
@@ -133,10 +136,12 @@
     }
 
     /**
-     * Takes out the claims whose rows differ and queues the others again, ahead of newer ones.
+     * Reports a conflict to the claims whose rows differ and queues the others again, before newer
+     * ones.
      *
-     * <p>A conflict proves that the whole transaction had no effect, so the others start clean. One
-     * that names none of its rows proves nothing and could be repeated for ever.
+     * <p>A conflict proves that the whole transaction had no effect, so the other claims can be
+     * written anew. A conflict that names none of the transaction's rows proves nothing, and
+     * requeueing could repeat it forever.
      */
     private List<BatchEvent> onConflict(List<Queued> items, List<Row> rows) {
         Map<RowKey, Row> differing =
@@ -158,7 +163,10 @@
                 conflicting, w -> new ClaimEvent.Conflicted(w.ticket(), differing.get(w.key())));
     }
 
-    /** During an outage callers get their refusal now: queued writes certainly have no effect. */
+    /**
+     * Refuses queued callers at once during an outage: their queued writes certainly have no
+     * effect.
+     */
     private List<BatchEvent> countFailure(long nowMs) {
         failures++;
         if (failures < limits.failuresToPause()) {
@@ -186,7 +194,7 @@
                 break;
             }
             Queued next = from.remove();
-            // Two writes of one row in a transaction would fail each other's check.
+            // In one transaction, two writes of the same row would fail each other's check.
             (keys.add(next.key()) ? to : later).add(next);
         }
         from.addAll(later);
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimCommands.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimCommands.java
@@ -8,16 +8,19 @@
 /** Changes to claims; thread-safe, never blocks. */
 public interface ClaimCommands {
     /**
-     * Claims a request as late as possible before its first send.
+     * Claims a request; call it as late as possible before the first send.
      *
      * @param deadlineMs time on this router's monotonic clock at which the caller gives up
      * @return a future that completes on the control thread, never exceptionally
      */
     CompletableFuture<ClaimDecision> claim(TeamId team, RequestId request, long deadlineMs);
 
-    /** Reports that nothing was sent, or all was refused before admission, and nothing will be. */
+    /**
+     * Reports that no attempt was sent or each was refused before admission, and that none will
+     * follow.
+     */
     void reportNotSent(ClaimPermit permit);
 
-    /** Reports the end of a request that was sent; stored lazily for later submissions. */
+    /** Reports the end of a request that was sent; it is stored lazily for later submissions. */
     void reportEnded(ClaimPermit permit, Verdict verdict, String result);
 }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimDecision.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimDecision.java
@@ -4,9 +4,9 @@
 
 import org.masticweir.error.MasticweirException;
 
-/** What a router is told about one submission that must run at most once. */
+/** The decision on one submission of a request that must run at most once. */
 public sealed interface ClaimDecision {
-    /** Send it under this permit, and report its end. */
+    /** The router may send the request under this permit and reports its end. */
     record Granted(ClaimPermit permit) implements ClaimDecision {
         public Granted {
             checkNotNull(permit, "permit");
@@ -14,8 +14,8 @@
     }
 
     /**
-     * Send nothing: another submission has the claim. Ask its owner to join; if that one can't be
-     * reached, the row's verdict is all that is known.
+     * Nothing may be sent because another submission holds the claim. The router asks the claim's
+     * owner to join its run; if the owner can't be reached, only the row's verdict is known.
      */
     record AlreadyClaimed(ClaimRow row) implements ClaimDecision {
         public AlreadyClaimed {
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Send nothing and answer the caller with this error, whose verdict is not run. */
+    /** Nothing may be sent; the caller receives this error, whose verdict is not run. */
     record Refused(MasticweirException error) implements ClaimDecision {
         public Refused {
             checkNotNull(error, "error");
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimEvent.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimEvent.java
@@ -6,12 +6,12 @@
 import org.masticweir.error.Verdict;
 import org.masticweir.store.Row;
 
-/** What a claim's state machine is told. */
+/** An event that a claim's state machine receives. */
 public sealed interface ClaimEvent {
     /** The write with this ticket took effect at this revision. */
     record Committed(int ticket, long revision) implements ClaimEvent {}
 
-    /** The write had no effect, as the row is this one (perhaps absent). */
+    /** The write had no effect; the table holds {@code row}, which may be absent. */
     record Conflicted(int ticket, Row row) implements ClaimEvent {
         public Conflicted {
             checkNotNull(row, "row");
@@ -25,16 +25,16 @@
         }
     }
 
-    /** The write may have taken effect, or may yet. */
+    /** The write may have taken effect or may still take effect. */
     record Unknown(int ticket) implements ClaimEvent {}
 
-    /** The deadline passed or the caller cancelled while the claim was being made. */
+    /** The deadline passed or the caller cancelled before the claim was decided. */
     record GiveUp() implements ClaimEvent {}
 
     /** No attempt was sent or each was refused before admission, and none will follow. */
     record NotSent() implements ClaimEvent {}
 
-    /** An attempt was sent and this is what is known of its end. */
+    /** An attempt was sent; verdict and result describe its end as far as known. */
     record Ended(Verdict verdict, String result) implements ClaimEvent {
         public Ended {
             checkNotNull(verdict, "verdict");
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimGroup.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimGroup.java
@@ -7,7 +7,7 @@
 /**
  * Claims written in one transaction, each row once; immutable.
  *
- * @param id number of the group, under which its outcome is told
+ * @param id number of the group, which identifies its outcome
  */
 record ClaimGroup(long id, List<BatchItem> items) {
     ClaimGroup {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimMessageCodecs.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimMessageCodecs.java
@@ -5,7 +5,7 @@
 import org.masticweir.peer.FieldsCodec;
 import org.masticweir.peer.MessageCodec;
 
-/** The codecs of the messages about claims, for the registry of a router's links. */
+/** The codecs of claim messages, for the registry of a router's links. */
 public final class ClaimMessageCodecs {
     private static final int CLAIM_OFFER = 72;
     private static final int CLAIM_TAKEN = 73;
@@ -57,7 +57,7 @@
 
     private ClaimMessageCodecs() {}
 
-    /** Returns the codecs; they take the type numbers from 72 to 74. */
+    /** Returns the codecs; they use the message types 72 to 74. */
     public static ImmutableList<MessageCodec<?>> all() {
         return ImmutableList.of(OFFER, TAKEN, ANSWER);
     }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimPolicy.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimPolicy.java
@@ -3,14 +3,14 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How long and how often a claim is tried.
+ * Limits on the attempts and the duration of a claim.
  *
  * @param maxTries writes of one claim before its caller is refused
- * @param settleForMs how long cleaning up or storing a result is tried; longer than domains are cut
- *     off from the platform
- * @param settleDelayMs pause before the first repeat of such a write; doubles each time
+ * @param settleForMs how long the write of a released or done row is retried; longer than domains
+ *     are cut off from the platform
+ * @param settleDelayMs pause before the first retry of such a write; doubles with each retry
  * @param sendWithinMs how long after its first write a claim permits sending
- * @param retryAfterMs advice to a caller refused while the table is out of reach
+ * @param retryAfterMs retry delay for a caller refused while the table is unavailable
  */
 public record ClaimPolicy(
         int maxTries, long settleForMs, long settleDelayMs, long sendWithinMs, long retryAfterMs) {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimQueries.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimQueries.java
@@ -6,8 +6,8 @@
 import org.masticweir.id.TeamId;
 import org.masticweir.store.ReadOutcome;
 
-/** Views of claims that change nothing; thread-safe, never blocks. */
+/** Read-only queries of claims; thread-safe, never blocks. */
 public interface ClaimQueries {
-    /** Reads the claim on a request as the table has it now. */
+    /** Reads the current claim of a request from the table. */
     CompletableFuture<ReadOutcome<Optional<ClaimRow>>> find(TeamId team, RequestId request);
 }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimRow.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimRow.java
@@ -15,11 +15,11 @@
 /**
  * The value of a claim's row; immutable.
  *
- * @param nonce drawn anew for each submission; tells whose insert a row came from
- * @param owner router that made the claim, which knows more than the row while it lives
+ * @param nonce random value of one submission; identifies the submission that inserted a row
+ * @param owner router that made the claim; while it runs it has newer information than the row
  * @param wallMs wall time of the claim, for the sweep
- * @param verdict what is known of the run; meant for others only once the status is done
- * @param result stored answer, or empty when it was not kept
+ * @param verdict what is known of the run; valid for other routers only once the status is done
+ * @param result stored answer, or empty if it was not kept
  */
 public record ClaimRow(
         String nonce,
@@ -31,7 +31,7 @@
     /** Table that holds claims. */
     public static final String TABLE = "claims";
 
-    /** Longest result kept in a row, in characters; a longer one belongs in the object store. */
+    /** Longest result stored in a row, in characters; longer results belong in the object store. */
     public static final int MAX_RESULT_CHARS = 16 * 1024;
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -53,12 +53,12 @@
         return RowKey.of(TABLE, team + "/" + request);
     }
 
-    /** Returns this claim as given up before any send. */
+    /** Returns this claim with status released; nothing was sent under it. */
     public ClaimRow released() {
         return new ClaimRow(nonce, owner, wallMs, ClaimStatus.RELEASED, Verdict.NOT_RUN, "");
     }
 
-    /** Returns this claim as ended; a result that is too long is not kept. */
+    /** Returns this claim with status done; a result that is too long is not stored. */
     public ClaimRow done(Verdict end, String answer) {
         String kept = answer.length() <= MAX_RESULT_CHARS ? answer : "";
         return new ClaimRow(nonce, owner, wallMs, ClaimStatus.DONE, end, kept);
@@ -81,7 +81,9 @@
     }
 
     /**
-     * Returns the claim that {@code value} holds; fails with an argument error on anything else.
+     * Decodes {@code value}.
+     *
+     * @throws IllegalArgumentException if {@code value} is not a claim row
      */
     public static ClaimRow decode(String value) {
         try {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimService.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimService.java
@@ -32,7 +32,7 @@
 import org.masticweir.time.Clock;
 
 /**
- * Drives the claims of one router over the platform's table.
+ * Manages the claims of one router in the platform's table.
  *
  * <p>All state is confined to the control executor passed in, which must have one thread; the
  * public methods may be called from any thread.
@@ -40,7 +40,7 @@
 public final class ClaimService implements ClaimCommands, ClaimQueries {
     private static final Logger LOG = LogManager.getLogger(ClaimService.class);
 
-    /** A claim being driven. */
+    /** A claim in progress. */
     private record ActiveClaim(
             ClaimStateMachine state,
             CompletableFuture<ClaimDecision> decision,
@@ -73,7 +73,7 @@
         peerWrites = new PeerWrites(batch, clock);
     }
 
-    /** Returns a service that does all its work on {@code control}. */
+    /** Returns a service that runs on {@code control}. */
     public static ClaimService create(
             RouterId self,
             TableService table,
@@ -86,7 +86,7 @@
     /**
      * Shares writes with the other routers of the domain; call it once, before the first claim.
      *
-     * @param serving serving routers of the domain, this one included if it serves
+     * @param serving serving routers of the domain, including this one if it serves
      */
     public void enableSharedWrites(
             PeerLinks links,
@@ -100,7 +100,7 @@
                 ClaimWriteAccepted.class, (from, m, reply) -> control.execute(() -> onAccepted(m)));
     }
 
-    /** Shares writes over {@code links}, which hand messages to the methods below. */
+    /** Shares writes over {@code links}, which deliver messages to the methods below. */
     void shareWrites(
             WriterLinks links,
             Supplier<? extends Collection<RouterId>> serving,
@@ -119,7 +119,7 @@
                                 this::onDelegationAction));
     }
 
-    /** Queues the write of another router, if there is room; control thread only. */
+    /** Queues the write of another router if there is room; control thread only. */
     void acceptPeerWrite(RouterId from, ClaimWriteRequest request, Reply reply) {
         if (peerWrites.accept(request, reply)) {
             delegated.ifPresent(d -> d.sendAccepted(from, request.id()));
@@ -127,7 +127,9 @@
         commitDueGroups();
     }
 
-    /** Takes a writer's word that it queued a write of this router; control thread only. */
+    /**
+     * Handles a writer's notification that it queued a write of this router; control thread only.
+     */
     void onAccepted(ClaimWriteAccepted message) {
         delegated.ifPresent(d -> d.onAccepted(message.id()));
     }
@@ -185,13 +187,15 @@
         try {
             apply(id, claim.state().on(event, clock.nowMs()));
         } catch (IllegalArgumentException | IllegalStateException e) {
-            // A row that can't be read (written by a later version, say) must not run twice.
+            // The request of a row that can't be read, for example one of a later version, must not
+            // run twice.
             LOG.error("claims: claim {} dropped, {}", id, e.getMessage());
             remove(id);
             complete(
                     claim,
                     new ClaimDecision.Refused(
-                            MasticweirException.notRun(ErrorCode.INTERNAL, "claim not readable")));
+                            MasticweirException.notRun(
+                                    ErrorCode.INTERNAL, "claim row not readable")));
         }
     }
 
@@ -238,8 +242,8 @@
         long id = item.claim();
         OptionalLong refused = batch.offer(item, clock.nowMs());
         if (refused.isPresent()) {
-            // As its own task, so that a claim that is refused again and again can't nest calls;
-            // and not before the write was meant to start, so that its tries last an outage.
+            // Runs as a separate task so that repeated refusals don't nest calls, and not before
+            // the start time of the write, so that its retries last for an outage.
             ClaimEvent event = new ClaimEvent.NotDone(write.ticket(), refused);
             long delayMs = Math.max(0, write.notBeforeMs() - clock.nowMs());
             control.schedule(() -> deliver(id, event), delayMs, TimeUnit.MILLISECONDS);
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimServiceSettings.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimServiceSettings.java
@@ -6,7 +6,7 @@
 /**
  * Settings of the claim service.
  *
- * @param timeoutMs deadline of one call to the table
+ * @param timeoutMs timeout of one call to the table
  */
 public record ClaimServiceSettings(ClaimPolicy policy, BatchLimits batch, long timeoutMs) {
     private static final ClaimServiceSettings DEFAULTS =
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStateMachine.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStateMachine.java
@@ -13,24 +13,24 @@
 import org.masticweir.store.RowKey;
 
 /**
- * Decides about one submission of a request that must run at most once.
+ * State machine of one submission of a request that must run at most once.
  *
- * <p>{@link #start} gives the first write; each event gives what to do next. At most one of {@code
- * MayRun}, {@code JoinOrStored} and {@code Refuse} is ever returned, so that a claim given up on
- * can't turn into a permission by a late answer. Not thread-safe: owned by the control thread.
+ * <p>{@link #start} returns the first write; each event returns the next actions. At most one of
+ * {@code Grant}, {@code ReportAlreadyClaimed} and {@code Refuse} is ever returned, so that a late
+ * response can't grant a claim that was given up. Not thread-safe: owned by the control thread.
  */
 public final class ClaimStateMachine {
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
-    /** Where a claim stands in this router's memory. */
+    /** State of a claim in this router's memory. */
     private enum Phase {
-        /** The insert is under way and a caller waits. */
+        /** The insert is in progress and a caller waits. */
         CLAIMING,
-        /** The claim stands and this router may send. */
+        /** The claim is committed and this router may send. */
         PERMITTED,
-        /** Released or done is being written; nothing may be sent. */
+        /** The released or done row is being written; nothing may be sent. */
         SETTLING,
-        /** Over. */
+        /** The claim needs no further action. */
         CLOSED
     }
 
@@ -54,12 +54,15 @@
         this.claim = checkNotNull(claim, "claim");
         this.policy = checkNotNull(policy, "policy");
         this.deadlineMs = deadlineMs;
-        checkArgument(claim.status() == ClaimStatus.CLAIMED, "claim starts %s", claim.status());
+        checkArgument(
+                claim.status() == ClaimStatus.CLAIMED,
+                "claim starts with status %s",
+                claim.status());
         sendBeforeMs = Math.min(deadlineMs, nowMs + policy.sendWithinMs());
         targetRow = claim;
     }
 
-    /** Returns a claim not yet written; {@code deadlineMs} is when its caller gives up. */
+    /** Returns a claim that is not yet written; at {@code deadlineMs} its caller gives up. */
     public static ClaimStateMachine of(
             RowKey key, ClaimRow claim, ClaimPolicy policy, long nowMs, long deadlineMs) {
         return new ClaimStateMachine(key, claim, policy, nowMs, deadlineMs);
@@ -71,7 +74,7 @@
         return ImmutableList.of(nextWrite(nowMs));
     }
 
-    /** Takes one event and returns what to do, in order. */
+    /** Handles one event and returns the next actions in order. */
     public List<ClaimAction> on(ClaimEvent event, long nowMs) {
         checkNotNull(event, "event");
         if (phase == Phase.CLOSED || isStale(event)) {
@@ -98,7 +101,10 @@
         return end(claim.released(), nowMs);
     }
 
-    /** An answer to an earlier write says nothing about the row as the later one left it. */
+    /**
+     * Returns whether {@code event} responds to an earlier write: it does not describe the row
+     * after the later write.
+     */
     private boolean isStale(ClaimEvent event) {
         if (event instanceof ClaimEvent.Committed e) {
             return e.ticket() != ticket;
@@ -138,16 +144,17 @@
                 return onOtherRow(found);
             }
         }
-        // Absent or released by another submission: claim it at the revision now known. Against a
-        // row that stands, none of the earlier inserts can land any more.
+        // The row is absent or was released by another submission: claim it at the revision now
+        // known. If a row is present, none of the earlier inserts can be committed any more.
         mayHaveCommitted &= !row.isPresent();
         revision = row.revision();
         return retryOrEnd(nowMs);
     }
 
     /**
-     * An earlier write whose answer was lost did land. In place of a claim it is the permission; in
-     * place of a clean-up the row is either as wanted already or the late insert to be replaced.
+     * An earlier write whose response was lost was committed. If it was the claim, the router may
+     * send; during a clean-up the row is either the target row already or the late insert to
+     * replace.
      */
     private List<ClaimAction> onOwnRow(ClaimRow found, long rowRevision, long nowMs) {
         if (phase == Phase.CLAIMING) {
@@ -190,16 +197,16 @@
             boolean isExhausted = attempts >= policy.maxTries() || nowMs >= deadlineMs;
             return isExhausted ? giveUp(nowMs) : ImmutableList.of(nextWrite(nowMs));
         }
-        // Nobody waits any more. A row left as it is tells others MAY_HAVE_RUN, which is safe.
+        // No caller waits any more. An unchanged row reports MAY_HAVE_RUN to others, which is safe.
         return nowMs >= settleUntilMs ? close() : ImmutableList.of(nextWrite(nowMs));
     }
 
     /**
-     * Refuses the caller and sees to it that no late insert leaves a claim that nobody owns.
+     * Refuses the caller and prevents a late insert from leaving a claim without an owner.
      *
-     * <p>The insert may land after this answer. No harm comes of it here, since this claim never
-     * permits a send again; but the row would keep later submissions out, so a released row is
-     * written under the same check: whichever lands first, the other one fails.
+     * <p>The insert may be committed after this refusal. This claim never permits a send again, so
+     * the request does not run; but the row would block later submissions. Therefore a released row
+     * is written under the same check: whichever is committed first, the other one fails.
      */
     private List<ClaimAction> giveUp(long nowMs) {
         ClaimAction refusal =
@@ -209,7 +216,7 @@
     }
 
     private List<ClaimAction> end(ClaimRow row, long nowMs) {
-        checkState(phase == Phase.PERMITTED, "claim %s ended while %s", key, phase);
+        checkState(phase == Phase.PERMITTED, "claim %s ended in phase %s", key, phase);
         settle(row, nowMs);
         return ImmutableList.of(nextWrite(nowMs));
     }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
@@ -3,13 +3,13 @@
 import com.google.common.base.Ascii;
 import org.masticweir.error.Verdict;
 
-/** How far a claim has come, as its row in the table says. */
+/** The status of a claim as stored in its row. */
 public enum ClaimStatus {
-    /** Its owner may send, or has sent; nobody else ever may. */
+    /** The owner may send or has sent; no other router ever may. */
     CLAIMED(false, Verdict.MAY_HAVE_RUN),
-    /** No send took place under it and none will; anyone may claim anew. */
+    /** Nothing was or will be sent under this claim; any router may claim the request again. */
     RELEASED(true, Verdict.NOT_RUN),
-    /** It ended, with the verdict stored beside. */
+    /** The request ended; the row holds its verdict. */
     DONE(false, Verdict.MAY_HAVE_RUN);
 
     private final boolean claimable;
@@ -20,12 +20,12 @@
         this.verdictWithoutOwner = verdictOfLostOwner;
     }
 
-    /** Tells whether another claim may replace this one. */
+    /** Returns whether another claim may replace this one. */
     public boolean isClaimable() {
         return claimable;
     }
 
-    /** Returns the most that the row alone says when its owner can't be asked. */
+    /** Returns the verdict that the row alone proves when its owner can't be reached. */
     Verdict verdictWithoutOwner() {
         return verdictWithoutOwner;
     }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimSweep.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimSweep.java
@@ -9,16 +9,17 @@
 import org.masticweir.store.Transaction;
 
 /**
- * Decides which claims are old enough to be deleted, page by page.
+ * Selects old claims for deletion, page by page.
  *
- * <p>Whoever holds the domain's lease reads the page after {@link #nextPageAfter}, passes it to
- * {@link #onPage} and commits what that returns. A row is deleted only at the revision that was
- * read, so that one claimed anew in between stays, and two sweepers at once do no harm; after a
- * conflict the next round takes it up. Ages are wall time, so routers' clocks must agree far better
- * than the retention less the time for which a claim permits sending. Owned by the control thread.
+ * <p>The holder of the domain's lease reads the page after {@link #nextPageAfter}, passes it to
+ * {@link #onPage} and commits the returned transaction. A row is deleted only at the revision that
+ * was read, so a row that was claimed again in the meantime is kept, and two concurrent sweeps do
+ * no harm; after a conflict the next round handles the row. Ages are in wall time, so the routers'
+ * clocks must agree far better than the retention less the time for which a claim permits sending.
+ * Owned by the control thread.
  */
 public final class ClaimSweep {
-    /** Retention is at least this many times as long as a claim permits sending. */
+    /** Minimum ratio of the retention to the time for which a claim permits sending. */
     public static final int RETENTION_FACTOR = 10;
 
     private final long retentionMs;
@@ -36,7 +37,7 @@
         checkArgument(pageRows >= 1, "page rows %s", pageRows);
         checkArgument(
                 retentionMs >= RETENTION_FACTOR * policy.sendWithinMs(),
-                "retention %s ms is too near to the %s ms a claim permits sending",
+                "retention %s ms is too close to the %s ms for which a claim permits sending",
                 retentionMs,
                 policy.sendWithinMs());
         return new ClaimSweep(retentionMs, pageRows);
@@ -51,7 +52,7 @@
         return pageRows;
     }
 
-    /** Moves on past {@code rows} and returns the deletion of those that are old, if any. */
+    /** Advances past {@code rows} and returns the deletion of the old ones, if any. */
     public Optional<Transaction> onPage(List<Row> rows, long wallMs) {
         Transaction.Builder t = Transaction.builder();
         int old = 0;
@@ -65,7 +66,10 @@
         return old == 0 ? Optional.empty() : Optional.of(t.build());
     }
 
-    /** A row that can't be read is kept: deleting it would let its request run again. */
+    /**
+     * Returns whether the row is old; a row that can't be read is kept, since deleting it would let
+     * its request run again.
+     */
     private boolean isOld(Row row, long wallMs) {
         try {
             return wallMs - ClaimRow.decode(row.value()).wallMs() > retentionMs;
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimWrite.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWrite.java
@@ -8,9 +8,9 @@
 /**
  * One compare-and-set of a claim's row; immutable.
  *
- * @param ticket number of the write within its claim; an outcome under an older one is out of date
- * @param expectedRevision revision the row must have
- * @param notBeforeMs time before which the write should not start
+ * @param ticket number of the write within its claim; an outcome with an older ticket is stale
+ * @param expectedRevision revision that the row must have
+ * @param notBeforeMs earliest start time of the write
  * @param urgent whether a caller waits for it
  */
 public record ClaimWrite(
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimWriteAccepted.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteAccepted.java
@@ -4,7 +4,7 @@
 
 import org.masticweir.peer.PeerMessage;
 
-/** Tells a claimant that the writer queued its write and will answer. */
+/** Notifies a claimant that the writer queued its write and will respond. */
 record ClaimWriteAccepted(ClaimWriteId id) implements PeerMessage {
     ClaimWriteAccepted {
         checkNotNull(id, "id");
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimWriteId.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteId.java
@@ -1,7 +1,7 @@
 package org.masticweir.claims;
 
 /**
- * Names one write that a claimant offered to a writer.
+ * Identifies one write that a claimant delegated to a writer.
  *
  * @param claim number of the claim within the claimant
  * @param ticket number of the write within its claim
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimWriteRequest.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteRequest.java
@@ -9,10 +9,10 @@
 import org.masticweir.store.RowKey;
 
 /**
- * Asks a router of the domain to write a claim's row among its own; answered by a {@link
+ * Delegates the write of a claim's row to another router of the domain; answered by a {@link
  * ClaimWriteResponse}.
  *
- * @param row the claimant's row as it is to stand in the table
+ * @param row encoded row of the claimant to store in the table
  */
 record ClaimWriteRequest(
         ClaimWriteId id, String key, long expectedRevision, boolean urgent, String row)
@@ -26,7 +26,7 @@
         checkNotNull(row, "row");
     }
 
-    /** Returns the message for {@code item}, or nothing if it is too long for one. */
+    /** Returns the message for {@code item}, or empty if it is too long for a message. */
     static Optional<ClaimWriteRequest> of(BatchItem item) {
         ClaimWrite w = item.write();
         ClaimWriteRequest m =
@@ -39,16 +39,16 @@
         return bytes(m.key) <= MAX_KEY_BYTES && fits(m.row) ? Optional.of(m) : Optional.empty();
     }
 
-    /** Tells whether a message may hold {@code row}. */
+    /** Returns whether {@code row} fits into a message. */
     static boolean fits(String row) {
         return bytes(row) <= MAX_ROW_BYTES;
     }
 
     /**
-     * Returns the write as the writer queues it under a number of its own.
+     * Returns the write that the writer queues under its own {@code number}.
      *
-     * <p>A row of a later version may hold what this version would drop; it fails with an argument
-     * error, so that its claimant writes it.
+     * <p>A row of a later version may contain fields that this version would drop; for such a row
+     * the method throws an {@link IllegalArgumentException}, and the claimant writes it itself.
      */
     BatchItem toItem(long number, long nowMs) {
         ClaimRow decoded = ClaimRow.decode(row);
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimWriteResponse.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteResponse.java
@@ -8,22 +8,22 @@
 import org.masticweir.store.RowKey;
 
 /**
- * What became of a write that a claimant offered.
+ * The outcome of a write that a claimant delegated.
  *
- * @param number a revision when committed or conflicted, else after how many milliseconds to come
- *     back
- * @param value value of the row that stands instead; empty when absent or not conflicted
+ * @param number revision if committed or conflicted, otherwise the delay before a retry in
+ *     milliseconds
+ * @param value value of the conflicting row; empty if it is absent or there was no conflict
  */
 record ClaimWriteResponse(Kind kind, long number, String value) implements PeerMessage {
-    /** Outcomes, by their number on the wire; append only. */
+    /** Outcomes, encoded by ordinal on the wire; append only. */
     enum Kind {
         /** The write took effect. */
         COMMITTED,
-        /** The write had no effect, as another row stands. */
+        /** The write had no effect because the row differs. */
         CONFLICTED,
-        /** The write may have taken effect, or may yet. */
+        /** The write may have taken effect or may still take effect. */
         UNKNOWN,
-        /** The writer does not reach the table; the write had no effect and never will. */
+        /** The writer can't reach the table; the write had no effect and never will. */
         NO_TABLE,
         /** The writer's queue is full; the write had no effect and never will. */
         OVERLOADED
@@ -39,9 +39,10 @@
     }
 
     /**
-     * Returns the answer that tells {@code event}, an outcome of the writer's batch.
+     * Returns the response for {@code event}, an outcome of the writer's batch.
      *
-     * <p>A row too long for a message is told as unknown: the claimant then asks the table itself.
+     * <p>A row that is too long for a message is reported as unknown; the claimant then queries the
+     * table itself.
      */
     static ClaimWriteResponse fromEvent(ClaimEvent event) {
         if (event instanceof ClaimEvent.Committed e) {
@@ -56,7 +57,7 @@
         return new ClaimWriteResponse(Kind.UNKNOWN, 0, "");
     }
 
-    /** Returns what the claim is told of its write under {@code ticket}. */
+    /** Returns the event to deliver to the claim for its write {@code ticket}. */
     ClaimEvent toEvent(int ticket, RowKey key) {
         return switch (kind) {
             case COMMITTED -> new ClaimEvent.Committed(ticket, number);
--- a/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
@@ -19,7 +19,8 @@
 import org.masticweir.time.Clock;
 
 /**
- * Offers this router's writes to the domain's writer and waits, within bounds, for its answers.
+ * Delegates this router's writes to the domain's writer and waits, with timeouts, for its
+ * responses.
  *
  * <p>Not thread-safe: owned by the control thread.
  */
@@ -56,7 +57,8 @@
     }
 
     /**
-     * Offers {@code item} to a writer, now or when it may start; false if it is to be written here.
+     * Delegates {@code item} to a writer, now or at its start time; returns false if this router
+     * has to write it itself.
      */
     boolean delegate(BatchItem item) {
         long now = clock.nowMs();
@@ -73,13 +75,13 @@
         return true;
     }
 
-    /** Takes a writer's word that it queued a write. */
+    /** Handles a writer's notification that it queued a write. */
     void onAccepted(ClaimWriteId key) {
         delegation.markAccepted(key, clock.nowMs());
         scheduleExpiry(key, limits.outcomeWaitMs());
     }
 
-    /** Tells {@code claimant} that this router queued its write. */
+    /** Notifies {@code claimant} that this router queued its write. */
     void sendAccepted(RouterId claimant, ClaimWriteId key) {
         links.sendAccepted(claimant, new ClaimWriteAccepted(key));
     }
--- a/masticweir/src/main/java/org/masticweir/claims/PeerWriterLinks.java
+++ b/masticweir/src/main/java/org/masticweir/claims/PeerWriterLinks.java
@@ -6,7 +6,7 @@
 import org.masticweir.id.RouterId;
 import org.masticweir.peer.PeerLinks;
 
-/** Carries claims over the links between routers; thread-safe. */
+/** Sends claim messages over the links between routers; thread-safe. */
 final class PeerWriterLinks implements WriterLinks {
     private final PeerLinks links;
 
--- a/masticweir/src/main/java/org/masticweir/claims/PeerWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/PeerWrites.java
@@ -11,11 +11,12 @@
 import org.masticweir.time.Clock;
 
 /**
- * Queues the writes of the domain's other routers among this router's own, and answers them.
+ * Queues writes of the domain's other routers together with this router's own, and responds to
+ * them.
  *
- * <p>A write that can't be made soon is refused at once, so that its claimant can tell its caller
- * or write for itself. Nothing is kept for a claimant that no longer waits: a late write fails its
- * check. Not thread-safe: owned by the control thread.
+ * <p>A write that can't be made soon is refused at once, so that its claimant can refuse its caller
+ * or write the row itself. Writes of a claimant that no longer waits are not tracked: a late write
+ * fails its check. Not thread-safe: owned by the control thread.
  */
 final class PeerWrites {
     private final ClaimBatcher batch;
@@ -28,7 +29,7 @@
         this.clock = checkNotNull(clock, "clock");
     }
 
-    /** Queues the write and returns true, or answers why not. */
+    /** Queues the write and returns true, or responds with the reason for a refusal. */
     boolean accept(ClaimWriteRequest request, Reply reply) {
         long now = clock.nowMs();
         if (batch.isPaused(now)) {
@@ -40,13 +41,13 @@
             reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.OVERLOADED, aheadMs));
             return false;
         }
-        // Numbers of guests are below zero, so that they never meet those of own claims.
+        // Numbers of peer writes are negative so that they never equal those of own claims.
         long number = lastNumber - 1;
         BatchItem item;
         try {
             item = request.toItem(number, now);
         } catch (IllegalArgumentException e) {
-            reply.fail(MasticweirException.notRun(ErrorCode.INTERNAL, "claim not readable"));
+            reply.fail(MasticweirException.notRun(ErrorCode.INTERNAL, "claim row not readable"));
             return false;
         }
         OptionalLong refused = batch.offer(item, now);
@@ -60,7 +61,7 @@
         return true;
     }
 
-    /** Passes on the outcome of a guest's write; returns false if it is not a guest's. */
+    /** Forwards the outcome of a peer's write; returns false if the write is not a peer's. */
     boolean respond(BatchEvent event) {
         Reply reply = replies.remove(event.claim());
         if (reply == null) {
--- a/masticweir/src/main/java/org/masticweir/claims/SharedWriteLimits.java
+++ b/masticweir/src/main/java/org/masticweir/claims/SharedWriteLimits.java
@@ -3,19 +3,25 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * When claims go through one writer of the domain, and how long that writer is waited for.
+ * When claims are written by one writer of the domain, and the timeouts for that writer.
  *
- * @param shareAbove serving routers of the domain above which claims go through a writer
- * @param acceptWaitMs how long a writer may stay silent before the claimant writes for itself
- * @param outcomeWaitMs how long an outcome is waited for once the writer took the write
- * @param excludeMs how long a writer that failed is left out; doubles with each failure in a row
+ * @param shareAbove number of serving routers in the domain above which claims are delegated to a
+ *     writer
+ * @param acceptWaitMs how long a claimant waits for the writer to accept a write before it writes
+ *     the row itself
+ * @param outcomeWaitMs how long a claimant waits for the outcome of an accepted write
+ * @param excludeMs how long a writer is not selected after a failure; doubles with each failure in
+ *     a row
  */
 public record SharedWriteLimits(
         int shareAbove, long acceptWaitMs, long outcomeWaitMs, long excludeMs) {
-    /** Longest queue of urgent rows, in time, at which a writer still takes writes of others. */
+    /**
+     * Longest queue of urgent rows, in time, at which a writer still accepts writes of other
+     * routers.
+     */
     static final long MAX_QUEUE_MS = 400;
 
-    /** For the hop back and the control threads on the way. */
+    /** Allowance for the response's hop and the control threads on the way. */
     private static final long SLACK_MS = 100;
 
     public SharedWriteLimits {
@@ -26,9 +32,9 @@
     }
 
     /**
-     * Returns limits under which an outcome is waited for as long as a writer that lives may take.
+     * Returns limits with an outcome timeout as long as a healthy writer may take.
      *
-     * @param tableTimeoutMs deadline of a writer's call to the table
+     * @param tableTimeoutMs timeout of a writer's call to the table
      */
     public static SharedWriteLimits of(
             int shareAbove, long acceptWaitMs, long excludeMs, long tableTimeoutMs) {
--- a/masticweir/src/main/java/org/masticweir/claims/WriteBudget.java
+++ b/masticweir/src/main/java/org/masticweir/claims/WriteBudget.java
@@ -1,6 +1,6 @@
 package org.masticweir.claims;
 
-/** A token bucket over this router's transactions; owned by the control thread. */
+/** A token bucket for this router's transactions; owned by the control thread. */
 final class WriteBudget {
     private static final double MS_PER_SECOND = 1_000;
 
@@ -25,13 +25,13 @@
         tokens--;
     }
 
-    /** Returns the time at which there is a token if none is spent before. */
+    /** Returns the time at which a token is available if none is spent before. */
     long nextTokenMs(long nowMs) {
         fill(nowMs);
         return tokens >= 1 ? nowMs : nowMs + (long) Math.ceil((1 - tokens) / perMs);
     }
 
-    /** Returns how long {@code writes} more of them take. */
+    /** Returns how long {@code writes} more transactions take. */
     long durationMs(long writes) {
         return (long) Math.ceil(writes / perMs);
     }
--- a/masticweir/src/main/java/org/masticweir/claims/WriteDelegation.java
+++ b/masticweir/src/main/java/org/masticweir/claims/WriteDelegation.java
@@ -13,30 +13,35 @@
 import org.masticweir.membership.Rendezvous;
 
 /**
- * Decides which router writes a claim's row, and when its claimant stops waiting for that router.
+ * Selects the router that writes a claim's row and tracks the writes delegated to it until they
+ * have an outcome or time out.
  *
- * <p>The routers of a domain rank each other alike, without a lease, and the first one writes for
- * all. Correctness does not rest on it: each write carries its claimant's nonce and the revision it
- * expects, so two writers at once, a writer that dies and a write that lands late do what a lost
- * answer of the table does, and {@link ClaimStateMachine} settles them in the same way.
+ * <p>All routers of a domain rank each other by rendezvous hashing, without a lease, and the first
+ * one writes for all. Correctness does not depend on this: each write carries its claimant's nonce
+ * and expected revision, so two concurrent writers, a writer crash and a late write have the same
+ * effects as a lost response of the table, and {@link ClaimStateMachine} handles them in the same
+ * way.
  *
  * <p>Not thread-safe: owned by the control thread.
  */
 final class WriteDelegation {
-    /** All routers rank each other by this key, so that they agree on a writer. */
+    /** Common hash key, so that all routers select the same writer. */
     private static final String RANKED_BY = "claims";
 
     private static final int MAX_DOUBLINGS = 3;
 
-    /** A write that a writer has, whether it said so, and until when it is waited for. */
+    /** A delegated write, whether the writer accepted it, and the time at which it expires. */
     private record PendingWrite(BatchItem item, RouterId writer, boolean isAccepted, long untilMs) {
-        /** A row without a caller waits at a busy writer; that says nothing against the writer. */
+        /**
+         * Returns whether the write is delayed by load: a busy writer postpones rows that no caller
+         * waits for, which does not indicate a failure of the writer.
+         */
         boolean isDelayedByLoad() {
             return isAccepted && !item.write().urgent();
         }
     }
 
-    /** A writer that failed, and until when it is left out. */
+    /** A writer that failed, and the time until which it is not selected. */
     private record ExcludedWriter(long untilMs, int failures) {}
 
     private final RouterId self;
@@ -50,12 +55,12 @@
     }
 
     /**
-     * Returns the peer that is to write, or empty if this router writes for itself.
+     * Returns the peer that writes the row, or empty if this router writes it itself.
      *
-     * <p>A repeat that a caller waits for is written here: it follows a doubt, and a second
-     * doubtful hop would use up the caller's time.
+     * <p>A retry that a caller waits for is written locally: it follows an unknown outcome, and a
+     * second delegation with an unknown outcome would use up the caller's time.
      *
-     * @param serving serving routers of the domain, this one included if it serves
+     * @param serving serving routers of the domain, including this one if it serves
      */
     Optional<RouterId> writerFor(ClaimWrite write, Collection<RouterId> serving, long nowMs) {
         boolean isRepeat = write.urgent() && write.ticket() > 1;
@@ -69,14 +74,14 @@
                 .filter(r -> !r.equals(self));
     }
 
-    /** Takes note that {@code item} was sent to {@code writer}. */
+    /** Records that {@code item} was sent to {@code writer}. */
     ClaimWriteId addPending(BatchItem item, RouterId writer, long nowMs) {
         ClaimWriteId key = ClaimWriteId.of(item);
         pending.put(key, new PendingWrite(item, writer, false, nowMs + limits.acceptWaitMs()));
         return key;
     }
 
-    /** Takes the writer's word that it queued the write. */
+    /** Records that the writer queued the write. */
     void markAccepted(ClaimWriteId key, long nowMs) {
         pending.computeIfPresent(
                 key,
@@ -84,10 +89,10 @@
     }
 
     /**
-     * Takes the writer's answer.
+     * Handles the writer's response.
      *
-     * @param isTableOutHere whether this router does not reach the table either, so that the writer
-     *     is not to blame
+     * @param tableOutHere whether this router can't reach the table either, so that the failure is
+     *     not attributed to the writer
      */
     List<DelegationAction> onResponse(
             ClaimWriteId key, ClaimWriteResponse response, boolean isTableOutHere, long nowMs) {
@@ -110,7 +115,7 @@
                 : excludeWriter(w.writer, outcome, nowMs);
     }
 
-    /** Takes note that the offer never reached the writer, or was not understood there. */
+    /** Handles a write request that did not reach the writer or could not be decoded there. */
     List<DelegationAction> onNotSent(ClaimWriteId key, long nowMs) {
         PendingWrite w = pending.remove(key);
         if (w == null) {
@@ -119,18 +124,18 @@
         return excludeWriter(w.writer, new DelegationAction.WriteLocally(w.item), nowMs);
     }
 
-    /** Takes note that the link to the writer was lost, with the write in doubt. */
+    /** Handles the loss of the link to the writer; the outcome of the write is unknown. */
     List<DelegationAction> onLinkLost(ClaimWriteId key, long nowMs) {
         PendingWrite w = pending.remove(key);
         return w == null ? ImmutableList.of() : excludeWriter(w.writer, reportUnknown(w), nowMs);
     }
 
     /**
-     * Gives up on {@code key} if its time is over.
+     * Stops waiting for {@code key} if it has timed out.
      *
-     * <p>Failure guarded against: the writer is paused, or its link is silent with no reset. It
-     * shows as no word within the bound. The write is then in doubt as after a lost answer of the
-     * table, and the claim writes it again with the same nonce.
+     * <p>Detects a writer that is paused, or whose link is silent without a reset, by a missing
+     * response within the bound. The outcome of the write is then unknown, as after a lost response
+     * of the table, and the claim writes it again with the same nonce.
      */
     List<DelegationAction> expire(ClaimWriteId key, long nowMs) {
         PendingWrite w = pending.get(key);
@@ -149,11 +154,12 @@
     }
 
     /**
-     * Leaves {@code writer} out for a while, and its callers' writes with it.
+     * Stops selecting {@code writer} for a time and reports an unknown outcome to all pending
+     * writes there that callers wait for.
      *
-     * <p>Failure guarded against: a writer whose calls to the table get no answer answers one write
-     * after 500 ms and has others in its queue, whose callers would wait for as long again. They
-     * are in doubt now; a write too many does no harm.
+     * <p>Without this, if the writer's calls to the table get no response, it responds to one write
+     * after 500 ms, and the callers of the writes in its queue would wait as long again. A
+     * redundant write does no harm.
      */
     private List<DelegationAction> excludeWriter(
             RouterId writer, DelegationAction first, long nowMs) {
@@ -177,7 +183,10 @@
         return new DelegationAction.Report(new BatchEvent(w.item.claim(), event));
     }
 
-    /** Many writes of one failure count once: only the first finds the writer not left out. */
+    /**
+     * Many failed writes of one failure count once: only the first one finds the writer not yet
+     * excluded.
+     */
     private void exclude(RouterId writer, long nowMs) {
         if (isExcluded(writer, nowMs)) {
             return;
--- a/masticweir/src/main/java/org/masticweir/claims/WriterLinks.java
+++ b/masticweir/src/main/java/org/masticweir/claims/WriterLinks.java
@@ -3,10 +3,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.masticweir.id.RouterId;
 
-/** Carries claims between the routers of a domain; never blocks. */
+/** Sends claim messages between the routers of a domain; never blocks. */
 interface WriterLinks {
     /**
-     * Offers a write to {@code writer}.
+     * Delegates a write to {@code writer}.
      *
      * <p>The future fails with a {@link org.masticweir.error.MasticweirException}, whose verdict is
      * not run if the writer certainly has not queued the write.
@@ -14,6 +14,6 @@
     CompletableFuture<ClaimWriteResponse> sendWrite(
             RouterId writer, ClaimWriteRequest request, long timeoutMs);
 
-    /** Tells {@code claimant} that its write was queued; a best effort. */
+    /** Notifies {@code claimant} that its write was queued; best effort. */
     void sendAccepted(RouterId claimant, ClaimWriteAccepted message);
 }
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimDomain.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimDomain.java
@@ -24,7 +24,7 @@
 import org.masticweir.store.TransactionOutcome;
 import org.masticweir.time.ManualScheduler;
 
-/** The claim services of one domain's routers, joined by links and a table, in virtual time. */
+/** The claim services of one domain's routers, connected by links and a table, in virtual time. */
 final class ClaimDomain {
     static final long TABLE_ONE_WAY_MS = 2;
     private static final long HOP_MS = 1;
@@ -41,20 +41,23 @@
     private long tableOneWayMs = TABLE_ONE_WAY_MS;
     private boolean isTableOut;
 
-    /** How a router is, as the others meet it. */
+    /** The fault of a router as observed by the others. */
     enum Fault {
         NONE,
         /** Its connections are closed. */
         KILLED,
-        /** Its connections are open and nothing moves. */
+        /** Its connections are open but transfer nothing. */
         PAUSED,
         /** Its calls to the table are refused. */
         TABLE_REFUSED,
-        /** Its calls to the table get no answer. */
+        /** Its calls to the table get no response. */
         TABLE_SILENT
     }
 
-    /** Routers r1 to {@code n}; they share above {@code shareAbove}. */
+    /**
+     * Creates routers r1 to {@code n}, which share writes if there are more than {@code
+     * shareAbove}.
+     */
     ClaimDomain(int n, int shareAbove) {
         for (int i = 1; i <= n; i++) {
             RouterId id = RouterId.of("r" + i);
@@ -176,7 +179,7 @@
         }
     }
 
-    /** Carries one answer back over the link. */
+    /** Sends one response back over the link. */
     private final class LinkReply implements Reply {
         private final CompletableFuture<ClaimWriteResponse> response;
 
@@ -225,7 +228,7 @@
         return List.copyOf(routers.values());
     }
 
-    /** Returns what refused callers were told. */
+    /** Returns the errors of refused callers. */
     List<MasticweirException> refusals() {
         return decisions.stream()
                 .filter(ClaimDecision.Refused.class::isInstance)
@@ -233,7 +236,7 @@
                 .toList();
     }
 
-    /** Returns the router that most offers went to. */
+    /** Returns the router that received the most delegated writes. */
     Router writer() {
         return routers.values().stream()
                 .max((a, b) -> Integer.compare(a.receivedWrites, b.receivedWrites))
@@ -241,7 +244,8 @@
     }
 
     /**
-     * Has {@code router} claim {@code key}, run it for {@code runMs} if it may, and report its end.
+     * Has {@code router} claim {@code key}, run it for {@code runMs} if the claim is granted, and
+     * report its end.
      */
     void claim(Router router, String key, long runMs) {
         long startMs = now();
@@ -264,7 +268,7 @@
         return decisions;
     }
 
-    /** Forgets what was counted so far. */
+    /** Resets all counts. */
     void resetCounts() {
         waits.clear();
         decisions.clear();
@@ -284,7 +288,7 @@
         return decisions.stream().filter(kind::isInstance).count();
     }
 
-    /** Returns how many rows of claims stand with this status. */
+    /** Returns the number of claim rows with this status. */
     long rows(ClaimStatus status) {
         ReadOutcome<List<Row>> page = table.list(ClaimRow.TABLE, "", Integer.MAX_VALUE, 1).join();
         return ((ReadOutcome.Done<List<Row>>) page)
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimMessageCodecsTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimMessageCodecsTest.java
@@ -19,7 +19,7 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 
-/** Messages about claims on the wire. */
+/** Tests the encoding of claim messages. */
 class ClaimMessageCodecsTest {
     private static final RowKey KEY =
             ClaimRow.keyOf(TeamId.of("advisers"), RequestId.of(Strings.repeat("a", 32)));
@@ -76,8 +76,8 @@
     }
 
     /**
-     * A newer router's claim holds a field that this version does not know. Written here the field
-     * would be lost; the claimant must write its row itself.
+     * A newer router's claim contains a field that this version does not have. If this router wrote
+     * the row, the field would be lost; the claimant must write the row itself.
      */
     @Test
     void rowOfAnotherVersionIsNotWritten() {
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
@@ -12,15 +12,15 @@
 import org.masticweir.id.RouterId;
 import org.masticweir.store.RowKey;
 
-/** Claims under thousands of interleavings of faults. */
+/** Tests claims under thousands of interleavings of faults. */
 class ClaimPropertyTest {
     private static final int STEPS = 250;
 
     /**
-     * A family gets a letter twice, or is told it was not written and then gets it. The same letter
-     * is submitted at two routers; answers of the table are lost or come late, routers die between
-     * any two steps, the table is out. The cause would be two claims that both permit a send, or a
-     * claim that permits one after its caller was refused.
+     * Guards against a letter that is sent twice, or sent after its caller was refused. The same
+     * letter is submitted at two routers; responses of the table are lost or late, routers crash
+     * between any two steps, and the table has outages. The cause would be two claims that both
+     * permit a send, or a claim that permits one after its caller was refused.
      */
     @Property(seed = "7", tries = 4_000, shrinking = ShrinkingMode.OFF)
     void runsAtMostOnceAndNotRunIsTrue(@ForAll long seed) {
@@ -30,10 +30,10 @@
     }
 
     /**
-     * The same when routers write each other's claims. Two routers take themselves for the writer,
-     * one dies with writes in its queue, messages are lost, late, doubled and out of order. The
-     * cause would be a late insert by a former writer that lands where its claimant released it, or
-     * an answer to another write that passes for a permission.
+     * The same when routers write each other's claims. Two routers act as the writer at once, one
+     * crashes with writes in its queue, and messages are lost, late, duplicated and reordered. The
+     * cause would be a late insert by a former writer that is committed after its claimant released
+     * the claim, or a response to another write that is taken for a permission.
      */
     @Property(seed = "11", tries = 4_000, shrinking = ShrinkingMode.OFF)
     void runsAtMostOnceWithDelegatedWrites(@ForAll long seed) {
@@ -42,7 +42,10 @@
         assertTrue(world.notRunNeverRan(), "reported as not run, but ran");
     }
 
-    /** The world above is hard enough: all verdicts occur, and the plain policy fails in it. */
+    /**
+     * Verifies that the shared world triggers enough faults: all verdicts occur, and the plain
+     * policy fails.
+     */
     @Example
     void trustingWritersRunsTwice() {
         int failures = 0;
@@ -66,7 +69,10 @@
         assertTrue(runs > 100 && refused > 100, runs + " runs, " + refused);
     }
 
-    /** The first world is hard enough: every verdict occurs, and the plain policy fails in it. */
+    /**
+     * Verifies that the first world triggers enough faults: every verdict occurs, and the plain
+     * policy fails.
+     */
     @Example
     void plainPolicyRunsTwice() {
         int failures = 0;
@@ -82,7 +88,7 @@
         assertTrue(completed > 100 && refused > 100, completed + " completed, " + refused);
     }
 
-    /** Without faults a claim permits its send at the first answer. */
+    /** Without faults a claim is granted with the first response. */
     @Example
     void claimWithoutFaultsIsGranted() {
         ClaimPolicy policy = ClaimPolicy.defaults();
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimServiceTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimServiceTest.java
@@ -21,7 +21,7 @@
 import org.masticweir.store.Transaction;
 import org.masticweir.time.Clock;
 
-/** The claim service over a table in memory. */
+/** Tests the claim service with an in-memory table. */
 class ClaimServiceTest {
     private static final TeamId TEAM = TeamId.of("t");
     private static final RequestId LETTER = RequestId.of("letter");
@@ -51,7 +51,7 @@
         return assertInstanceOf(ClaimDecision.Granted.class, decision).permit();
     }
 
-    /** The table answers. */
+    /** The table responds. */
     @Nested
     class Reachable {
         @Test
@@ -73,7 +73,9 @@
             assertEquals(Verdict.MAY_HAVE_RUN, row.verdict());
         }
 
-        /** One letter is claimed elsewhere: those that share its transaction must not fail. */
+        /**
+         * One letter is claimed by another router; claims in the same transaction must not fail.
+         */
         @Test
         void conflictOfOneDoesNotFailTheOthers() {
             permitted(claim(second, LETTER).join());
@@ -101,10 +103,13 @@
         }
     }
 
-    /** The table loses answers or is out. */
+    /** The table loses responses or has an outage. */
     @Nested
     class Unreachable {
-        /** The claim is written, its answer lost: the caller must still get the letter, once. */
+        /**
+         * The claim is written and the response is lost; the caller must still get the letter,
+         * exactly once.
+         */
         @Test
         void lostAnswerIsSettledByTheNonce() {
             table.loseAnswers(1);
@@ -112,7 +117,7 @@
             assertInstanceOf(ClaimDecision.AlreadyClaimed.class, claim(second, LETTER).join());
         }
 
-        /** The table is out: the caller is refused at once and told when to come back. */
+        /** While the table is unavailable the caller is refused at once with a retry delay. */
         @Test
         void outageRefusesAtOnceWithRetryAfter() {
             table.setOut(true);
@@ -125,8 +130,8 @@
         }
 
         /**
-         * All answers are lost and the caller is refused, though the claim stands. Its owner
-         * releases it later, so that the caller who comes back is served.
+         * All responses are lost and the caller is refused, though the claim was committed. Its
+         * owner releases it later, so that a retry of the caller succeeds.
          */
         @Test
         void claimGivenUpIsReleasedForTheNextSubmission() {
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimSharingTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimSharingTest.java
@@ -6,14 +6,16 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Claims of a domain's routers written by one of them, in virtual time. */
+/** Tests claims of a domain's routers that one of them writes, in virtual time. */
 class ClaimSharingTest {
     private static final int UNSHARED = 1_000;
     private static final long LOAD_MS = 20_000;
     private static final long SETTLED_MS = 10_000;
     private static final int RATE = 200;
 
-    /** Offers {@code rate} claims a second in all, at the routers in turn, for {@code forMs}. */
+    /**
+     * Starts {@code rate} claims per second in total for {@code forMs}, at the routers in rotation.
+     */
     private static void load(ClaimDomain domain, double rate, long forMs) {
         long startMs = domain.now();
         int n = (int) (forMs * rate / 1_000);
@@ -27,10 +29,10 @@
         domain.runTo(startMs + forMs);
     }
 
-    /** All routers and the table are well. */
+    /** All routers and the table are healthy. */
     @Nested
     class NoFaults {
-        /** The table takes few transactions a second, whatever the number of routers. */
+        /** The table receives few transactions per second, whatever the number of routers. */
         @Test
         void transactionsOfADomainStayUnderOneRoutersBudget() {
             for (int routers : new int[] {1, 2, 4, 8, 16, 43}) {
@@ -69,10 +71,13 @@
         private static final int ROUTERS = 8;
         private static final long FAULT_MS = 10_000;
 
-        /** Silence is noticed after 150 ms; the claimant's own write comes on top. */
+        /** A silent writer is detected after 150 ms; the claimant's own write follows. */
         private static final long SILENT_WRITER_BOUND_MS = 300;
 
-        /** A table's call without an answer ends after 500 ms; the claimant's own write follows. */
+        /**
+         * A call to the table without a response ends after 500 ms; the claimant's own write
+         * follows.
+         */
         private static final long SILENT_TABLE_BOUND_MS = 700;
 
         private final ClaimDomain domain = new ClaimDomain(ROUTERS, 1);
@@ -83,10 +88,11 @@
         }
 
         /**
-         * The writer dies with claims of other routers in its queue.
+         * The writer crashes with claims of other routers in its queue.
          *
-         * <p>Callers of the other routers would be refused, or would wait for their deadline. The
-         * next router in rank writes at once, and what was in the queue is written by its claimant.
+         * <p>Guards against refused callers of the other routers, or callers that wait until their
+         * deadline. The next router in rank writes at once, and each claimant rewrites its claims
+         * that were in the queue.
          */
         @Test
         void writerKilled() {
@@ -94,23 +100,27 @@
         }
 
         /**
-         * The writer freezes with its connections open and wakes after 10 s.
+         * The writer is paused with its connections open and resumes after 10 s.
          *
-         * <p>Nothing tells but silence; when it wakes it writes claims that were long written by
-         * their claimants. Each of those fails its check, and no row stays claimed.
+         * <p>Only the missing responses reveal the pause. When it resumes it writes claims that
+         * their claimants wrote long ago. Each of those writes fails its check, and no row stays
+         * claimed.
          */
         @Test
         void writerPausedAndWoken() {
             assertAllServed(ClaimDomain.Fault.PAUSED, SILENT_WRITER_BOUND_MS);
         }
 
-        /** The writer alone is cut from the table: nobody else's callers may be refused. */
+        /**
+         * Only the writer loses its connection to the table; no callers of other routers may be
+         * refused.
+         */
         @Test
         void writerCutFromTheTable() {
             assertAllServed(ClaimDomain.Fault.TABLE_REFUSED, SILENT_WRITER_BOUND_MS);
         }
 
-        /** The same with connections that stay open and carry nothing. */
+        /** The same with connections that stay open and transfer nothing. */
         @Test
         void writerCutFromTheTableInSilence() {
             assertAllServed(ClaimDomain.Fault.TABLE_SILENT, SILENT_TABLE_BOUND_MS);
@@ -143,10 +153,10 @@
         }
 
         /**
-         * The table is out for all: every caller is refused at once, and told when to come back.
+         * The table is out for all routers: every caller is refused at once with a retry delay.
          *
-         * <p>A hop that failed must not be waited for at each claim; and once the table is back,
-         * one router writes for all again.
+         * <p>Claims must not each wait for a hop that failed; and after the outage one router
+         * writes for all again.
          */
         @Test
         void tableOut() {
@@ -170,7 +180,10 @@
             assertEquals(0, domain.refusals().size(), "refused");
         }
 
-        /** The table takes 300 ms a call: its writer is slow and not lost, and goes on alone. */
+        /**
+         * The table takes 300 ms per call: the writer is slow but not lost and stays the only
+         * writer.
+         */
         @Test
         void tableSlow() {
             domain.setTableDelay(150);
@@ -187,7 +200,9 @@
             assertTrue(perSecond <= 21, perSecond + " transactions/s");
         }
 
-        /** More claims than one writer can write: the rest is refused at once, with a time. */
+        /**
+         * More claims than one writer can write: the excess is refused at once with a retry delay.
+         */
         @Test
         void tooManyClaims() {
             load(domain, 4_000, FAULT_MS);
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
@@ -23,15 +23,20 @@
 import org.masticweir.time.Clock;
 
 /**
- * Two routers, a table behind a bad network and a back end that counts, run from one seed.
+ * Simulation of two routers, a table behind an unreliable network and a counting back end, driven
+ * by one seed.
  *
- * <p>With hops there are three, and any write may go by way of any other router: messages between
- * them are lost, late, doubled and out of order, and a writer may die or stay silent.
+ * <p>With shared writes there are three routers, and any write may be delegated to any other
+ * router: messages between them are lost, late, duplicated and reordered, and a writer may crash or
+ * stay silent.
  */
 final class ClaimWorld {
     static final int REQUESTS = 3;
 
-    /** More of them by way of writers, as deaths and doubled offers use up keys sooner. */
+    /**
+     * More requests with shared writes, since crashes and duplicated write requests use up keys
+     * sooner.
+     */
     private static final int SHARED_REQUESTS = 10;
 
     private static final long DEADLINE_MS = 400;
@@ -39,7 +44,7 @@
     private static final SharedWriteLimits SHARING = new SharedWriteLimits(1, 15, 40, 30);
     private static final ClaimPolicy POLICY = new ClaimPolicy(3, 300, 10, 300, 50);
 
-    /** One submission and what its caller was told. */
+    /** One submission and the verdict that its caller received. */
     private static final class Submission {
         private final RowKey key;
         private final String nonce;
@@ -54,7 +59,7 @@
         }
     }
 
-    /** A router's memory, lost with it. */
+    /** A router's state, which is lost when it crashes. */
     private static final class Router {
         private final Map<Long, Submission> live = new HashMap<>();
         private final Set<ClaimWriteId> pendingWrites = new HashSet<>();
@@ -63,10 +68,10 @@
         private PeerWrites peerWrites;
     }
 
-    /** A message between two routers, on its way. */
+    /** A message in transit between two routers. */
     private record LinkMessage(Router to, Runnable onArrival) {}
 
-    /** The time of this world. */
+    /** The clock of this world. */
     private final class WorldClock implements Clock {
         @Override
         public long nowMs() {
@@ -79,7 +84,7 @@
         }
     }
 
-    /** A group on its way; a null router is one that is gone. */
+    /** A group in transit; a null router has crashed. */
     private record Sent(Router router, ClaimGroup group) {}
 
     private final Random random;
@@ -98,7 +103,7 @@
     private long responses;
     private boolean isTableOut;
 
-    /** With {@code sendFirst} routers follow the plain policy: send, then claim. */
+    /** With {@code sendFirst} routers use the plain policy: send, then claim. */
     ClaimWorld(long seed, boolean sendFirst) {
         this(seed, sendFirst, false, false);
     }
@@ -116,12 +121,15 @@
         }
     }
 
-    /** Returns a world in which routers write for each other. */
+    /** Returns a world in which routers write each other's claims. */
     static ClaimWorld sharing(long seed) {
         return new ClaimWorld(seed, false, true, false);
     }
 
-    /** The same with the plain policy that a writer's word of having queued a claim permits it. */
+    /**
+     * The same with the plain policy that the writer's acceptance of a write already permits the
+     * send.
+     */
     static ClaimWorld trustingWriters(long seed) {
         return new ClaimWorld(seed, false, true, true);
     }
@@ -137,12 +145,12 @@
         return runs.values().stream().mapToInt(List::size).max().orElse(0);
     }
 
-    /** Returns how often back ends ran something. */
+    /** Returns the number of runs at the back ends. */
     long runs() {
         return runs.values().stream().mapToLong(List::size).sum();
     }
 
-    /** Returns how many answers of writers reached a claimant. */
+    /** Returns the number of writer responses that reached a claimant. */
     long writerResponses() {
         return responses;
     }
@@ -192,7 +200,9 @@
         }
     }
 
-    /** A message arrives, is lost, or arrives twice; or a claimant stops waiting. */
+    /**
+     * A message arrives, is lost or arrives twice; or a pending write of the claimant times out.
+     */
     private void stepMessages(Router router) {
         if (random.nextInt(8) == 0 || messages.isEmpty()) {
             nowMs += random.nextInt(4);
@@ -241,7 +251,7 @@
         }
     }
 
-    /** Carries a writer's answer back. */
+    /** Sends a writer's response back. */
     private final class LinkReply implements Reply {
         private final Router claimant;
         private final ClaimWriteId key;
@@ -327,7 +337,7 @@
         }
     }
 
-    /** A caller cancels, or a permitted request is sent, refused, or dropped before its send. */
+    /** A caller cancels, or a granted request is sent, refused, or dropped before its send. */
     private void advanceOneClaim(Router router) {
         List<Long> ready = new ArrayList<>(router.live.keySet());
         if (ready.isEmpty()) {
