--- a/masticweir/src/main/java/org/masticweir/claims/ClaimOffer.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteRequest.java
@@ -9,28 +9,29 @@
 import org.masticweir.store.RowKey;
 
 /**
- * Asks a router of the domain to write a claim's row among its own; answered by a {@link
- * ClaimAnswer}.
+ * Delegates the write of a claim's row to another router of the domain; answered by a {@link
+ * ClaimWriteResponse}.
  *
- * @param row the claimant's row as it is to stand in the table
+ * @param row encoded row of the claimant to store in the table
  */
-record ClaimOffer(OfferKey offer, String key, long expectedRevision, boolean urgent, String row)
+record ClaimWriteRequest(
+        ClaimWriteId id, String key, long expectedRevision, boolean urgent, String row)
         implements PeerMessage {
     static final int MAX_KEY_BYTES = 1_024;
     static final int MAX_ROW_BYTES = 128 * 1_024;
 
-    ClaimOffer {
-        checkNotNull(offer, "offer");
+    ClaimWriteRequest {
+        checkNotNull(id, "id");
         checkNotNull(key, "key");
         checkNotNull(row, "row");
     }
 
-    /** Returns the message for {@code item}, or nothing if it is too long for one. */
-    static Optional<ClaimOffer> of(BatchItem item) {
+    /** Returns the message for {@code item}, or empty if it is too long for a message. */
+    static Optional<ClaimWriteRequest> of(BatchItem item) {
         ClaimWrite w = item.write();
-        ClaimOffer m =
-                new ClaimOffer(
-                        OfferKey.of(item),
+        ClaimWriteRequest m =
+                new ClaimWriteRequest(
+                        ClaimWriteId.of(item),
                         w.key().key(),
                         w.expectedRevision(),
                         w.urgent(),
@@ -38,16 +39,16 @@
         return bytes(m.key) <= MAX_KEY_BYTES && fits(m.row) ? Optional.of(m) : Optional.empty();
     }
 
-    /** Tells whether a message may hold {@code row}. */
+    /** Returns whether {@code row} fits into a message. */
     static boolean fits(String row) {
         return bytes(row) <= MAX_ROW_BYTES;
     }
 
     /**
-     * Returns the write as the writer queues it under a number of its own.
+     * Returns the write that the writer queues under its own {@code number}.
      *
-     * <p>A row of a later version may hold what this version would drop; it fails with an argument
-     * error, so that its claimant writes it.
+     * <p>A row of a later version may contain fields that this version would drop; for such a row
+     * the method throws an {@link IllegalArgumentException}, and the claimant writes it itself.
      */
     BatchItem toItem(long number, long nowMs) {
         ClaimRow decoded = ClaimRow.decode(row);
@@ -55,7 +56,7 @@
         RowKey rowKey = RowKey.of(ClaimRow.TABLE, key);
         return new BatchItem(
                 number,
-                new ClaimWrite(rowKey, offer.ticket(), expectedRevision, decoded, nowMs, urgent));
+                new ClaimWrite(rowKey, id.ticket(), expectedRevision, decoded, nowMs, urgent));
     }
 
     private static int bytes(String text) {
--- a/masticweir/src/main/java/org/masticweir/claims/SharedWriteLimits.java
+++ b/masticweir/src/main/java/org/masticweir/claims/SharedWriteLimits.java
@@ -3,36 +3,43 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * When claims go through one writer of the domain, and how long that writer is waited for.
+ * When claims are written by one writer of the domain, and the timeouts for that writer.
  *
- * @param shareAbove serving routers of the domain above which claims go through a writer
- * @param takeWaitMs how long a writer may stay silent before the claimant writes for itself
- * @param outcomeWaitMs how long an outcome is waited for once the writer took the write
- * @param avoidMs how long a writer that failed is left out; doubles with each failure in a row
+ * @param shareAbove number of serving routers in the domain above which claims are delegated to a
+ *     writer
+ * @param acceptWaitMs how long a claimant waits for the writer to accept a write before it writes
+ *     the row itself
+ * @param outcomeWaitMs how long a claimant waits for the outcome of an accepted write
+ * @param excludeMs how long a writer is not selected after a failure; doubles with each failure in
+ *     a row
  */
-public record SharedWriteLimits(int shareAbove, long takeWaitMs, long outcomeWaitMs, long avoidMs) {
-    /** Longest queue of urgent rows, in time, at which a writer still takes writes of others. */
+public record SharedWriteLimits(
+        int shareAbove, long acceptWaitMs, long outcomeWaitMs, long excludeMs) {
+    /**
+     * Longest queue of urgent rows, in time, at which a writer still accepts writes of other
+     * routers.
+     */
     static final long MAX_QUEUE_MS = 400;
 
-    /** For the hop back and the control threads on the way. */
+    /** Allowance for the response's hop and the control threads on the way. */
     private static final long SLACK_MS = 100;
 
     public SharedWriteLimits {
         checkArgument(shareAbove >= 1, "share above %s routers", shareAbove);
-        checkArgument(takeWaitMs >= 1, "take wait %s ms", takeWaitMs);
-        checkArgument(outcomeWaitMs >= takeWaitMs, "outcome wait %s ms", outcomeWaitMs);
-        checkArgument(avoidMs >= 1, "avoid for %s ms", avoidMs);
+        checkArgument(acceptWaitMs >= 1, "accept wait %s ms", acceptWaitMs);
+        checkArgument(outcomeWaitMs >= acceptWaitMs, "outcome wait %s ms", outcomeWaitMs);
+        checkArgument(excludeMs >= 1, "exclude for %s ms", excludeMs);
     }
 
     /**
-     * Returns limits under which an outcome is waited for as long as a writer that lives may take.
+     * Returns limits with an outcome timeout as long as a healthy writer may take.
      *
-     * @param tableTimeoutMs deadline of a writer's call to the table
+     * @param tableTimeoutMs timeout of a writer's call to the table
      */
     public static SharedWriteLimits of(
-            int shareAbove, long takeWaitMs, long avoidMs, long tableTimeoutMs) {
+            int shareAbove, long acceptWaitMs, long excludeMs, long tableTimeoutMs) {
         long outcomeWaitMs = MAX_QUEUE_MS + tableTimeoutMs + SLACK_MS;
         return new SharedWriteLimits(
-                shareAbove, takeWaitMs, Math.max(takeWaitMs, outcomeWaitMs), avoidMs);
+                shareAbove, acceptWaitMs, Math.max(acceptWaitMs, outcomeWaitMs), excludeMs);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/limits/ModelLoad.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelLoad.java
@@ -1,24 +1,24 @@
 package org.masticweir.limits;
 
-/** This router's own work on one model version; not thread-safe. */
+/** This router's own requests to one model version; not thread-safe. */
 final class ModelLoad {
     private int running;
     private int notYetSent;
-    private final HoldTime hold = new HoldTime();
+    private final HoldTimeEstimate holdTime = new HoldTimeEstimate();
 
-    void admitted() {
+    void markAdmitted() {
         running++;
         notYetSent++;
     }
 
-    void sent() {
+    void markSent() {
         notYetSent--;
     }
 
-    void finished(boolean wasSent, long heldMs) {
+    void markFinished(boolean wasSent, long heldMs) {
         running--;
         if (wasSent) {
-            hold.saw(heldMs);
+            holdTime.add(heldMs);
         } else {
             notYetSent--;
         }
@@ -28,13 +28,13 @@
         return running;
     }
 
-    /** Returns requests admitted whose send the capacity doesn't show yet. */
+    /** Returns the number of admitted requests that the capacity source does not count yet. */
     int notYetSent() {
         return notYetSent;
     }
 
-    /** Returns how long requests kept their places. */
-    HoldTime hold() {
-        return hold;
+    /** Returns the statistics on how long requests occupied their slots. */
+    HoldTimeEstimate holdTime() {
+        return holdTime;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
@@ -10,69 +10,70 @@
 import org.masticweir.id.WorkClassId;
 
 /**
- * The waiting requests of one model version, served by equal shares between classes; not
- * thread-safe.
+ * The queued requests of one model version, with equal shares for its classes; not thread-safe.
  *
- * <p>Start-time fair queueing on the time that places are held: the class that got the least is
- * next, and one that was idle starts level with those served now. A class that asks for less than
- * its share waits for one place at most, whatever the others queue.
+ * <p>Start-time fair queueing on slot time: the class with the least slot time is served next, and
+ * a class that was idle starts at the current virtual time. A class that needs less than its share
+ * waits for at most one slot, however many requests the other classes queue.
  *
- * <p>Failure guarded against: in overload a class with a short target takes all places and those
- * with longer ones get none, though they ask for little. No order by target or deadline shows that,
- * since a queue that is full of the one is always more urgent than the other.
+ * <p>Prevents that in overload a class with a short target takes all slots and classes with longer
+ * targets get none, though they need few. An order by target or deadline has this fault, since a
+ * full queue of the former class is always more urgent than the latter.
  */
 final class ModelQueue {
-    /** Stands for every class where they share one queue. */
-    private static final WorkClassId ALL = WorkClassId.of("all");
+    /** Key of the common queue when classes are not separated. */
+    private static final WorkClassId ALL_CLASSES = WorkClassId.of("all");
 
-    /** Part of the turn under way that is still to come, on average. */
-    private static final double TURN_LEFT = 0.5;
+    /** Share of the current head's wait that remains, on average. */
+    private static final double REMAINING_WAIT_SHARE = 0.5;
 
-    /** Teams of a class that one tick predicts for. */
-    private static final int PREDICTED_IN_ONE_TICK = 64;
+    /** Teams of a class for which one tick computes predictions. */
+    private static final int MAX_PREDICTED_TEAMS_PER_TICK = 64;
 
-    private final TeamWeights teams;
+    private final TeamWeights teamWeights;
     private final Map<WorkClassId, ClassQueue> classes = new LinkedHashMap<>();
     private final ModelLoad load = new ModelLoad();
-    private final ReturnSchedule returns;
-    private final LimitSettings tuning;
-    private final PromptClasses prompt;
+    private final RetrySchedule retries;
+    private final LimitSettings settings;
+    private final LatencySensitiveClasses latencySensitive;
 
-    /** Where the class served last stood before. */
-    private double clock;
+    /** Virtual time of the class served last, before it was charged. */
+    private double virtualTime;
 
-    ModelQueue(TeamWeights teams, ReturnSchedule returns, LimitSettings tuning) {
-        this.teams = teams;
-        this.returns = returns;
-        this.tuning = tuning;
-        prompt = new PromptClasses(load, tuning);
+    ModelQueue(TeamWeights teamWeights, RetrySchedule retries, LimitSettings settings) {
+        this.teamWeights = teamWeights;
+        this.retries = retries;
+        this.settings = settings;
+        latencySensitive = new LatencySensitiveClasses(load, settings);
     }
 
     ModelLoad load() {
         return load;
     }
 
-    /** Takes note that {@code r} has ended, which was let in {@code heldMs} ago. */
-    void finished(AdmissionRequest r, boolean wasSent, long heldMs) {
-        load.finished(wasSent, heldMs);
+    /** Removes {@code r}, which was admitted {@code heldMs} ago and has ended. */
+    void markFinished(AdmissionRequest r, boolean wasSent, long heldMs) {
+        load.markFinished(wasSent, heldMs);
         if (wasSent) {
-            queue(r).hold().saw(heldMs);
+            queue(r).holdTime().add(heldMs);
         }
     }
 
-    ReturnSchedule returns() {
-        return returns;
+    RetrySchedule retries() {
+        return retries;
     }
 
-    /** Takes note of an arrival, so that others leave its class room if it needs that. */
-    void see(AdmissionRequest r, Capacity capacity, long nowMs) {
-        prompt.see(r, queue(r), capacity, nowMs);
+    /**
+     * Records an arrival, so that other classes leave headroom if the class of {@code r} needs it.
+     */
+    void recordArrival(AdmissionRequest r, Capacity capacity, long nowMs) {
+        latencySensitive.recordArrival(r, queue(r), capacity, nowMs);
     }
 
     void add(AdmissionRequest r, long nowMs) {
         ClassQueue q = queue(r);
         if (q.size() == 0) {
-            q.raise(clock);
+            q.advanceTo(virtualTime);
         }
         q.add(r, nowMs);
     }
@@ -89,36 +90,36 @@
         return classes.values().stream().mapToInt(q -> q.size(team)).sum();
     }
 
-    /** Tells whether {@code r} may be let in past all that waits. */
-    boolean goesAhead(AdmissionRequest r, Capacity capacity, int reserved) {
+    /** Returns whether {@code r} may be admitted at once, before all queued requests. */
+    boolean canAdmitNow(AdmissionRequest r, Capacity capacity, int reserved) {
         ClassQueue own = queue(r);
-        double level = Math.max(clock, own.served());
+        double startTime = Math.max(virtualTime, own.servedSlotMs());
         int ahead =
                 classes.values().stream()
-                        .filter(q -> q == own || q.served() <= level)
-                        .filter(q -> q.next(x -> hasPlace(x, capacity, reserved)).isPresent())
+                        .filter(q -> q == own || q.servedSlotMs() <= startTime)
+                        .filter(q -> q.next(x -> hasSlot(x, capacity, reserved)).isPresent())
                         .mapToInt(ClassQueue::size)
                         .sum();
-        return own.size(r.team()) == 0 && freeFor(r, capacity, reserved) - ahead >= 1;
+        return own.size(r.team()) == 0 && freeSlotsFor(r, capacity, reserved) - ahead >= 1;
     }
 
-    /** Charges the class of {@code r}, which did not wait. */
-    void passed(AdmissionRequest r, Capacity capacity) {
+    /** Charges the class of {@code r}, which was admitted without queueing. */
+    void chargeUnqueued(AdmissionRequest r, Capacity capacity) {
         ClassQueue q = queue(r);
-        q.raise(clock);
+        q.advanceTo(virtualTime);
         charge(q, r, capacity);
     }
 
-    /** Returns the next request that there is a place for, if any. */
+    /** Returns the next request for which a slot is free, if any. */
     Optional<AdmissionRequest> next(Capacity capacity, int reserved) {
         return classes.values().stream()
-                .flatMap(q -> q.next(r -> hasPlace(r, capacity, reserved)).stream())
+                .flatMap(q -> q.next(r -> hasSlot(r, capacity, reserved)).stream())
                 .min(
-                        comparingDouble((AdmissionRequest r) -> queue(r).served())
+                        comparingDouble((AdmissionRequest r) -> queue(r).servedSlotMs())
                                 .thenComparingLong(AdmissionRequest::firstTokenDueMs));
     }
 
-    /** Takes out {@code r}, which is let in, and charges its class and team. */
+    /** Removes {@code r}, which is admitted, and charges its class and team. */
     void serve(AdmissionRequest r, Capacity capacity, long nowMs) {
         ClassQueue q = queue(r);
         q.serve(r, nowMs);
@@ -126,65 +127,67 @@
     }
 
     /**
-     * Charges a class by the time that its requests hold a place, as seen lately.
+     * Charges a class the recent mean time that its requests occupy a slot.
      *
-     * <p>The most tokens that a request may have would charge a class for what its callers ask for
-     * and don't get: two classes of one cap may differ ten times in what they use.
+     * <p>The maximum token count of a request would charge the class for tokens that its callers
+     * request but don't get: two classes with the same maximum may differ ten times in their usage.
      */
     private void charge(ClassQueue q, AdmissionRequest r, Capacity capacity) {
-        clock = Math.max(clock, q.served());
-        q.charge(q.hold().meanMs(r.maxTokens() * capacity.stepMs()));
+        virtualTime = Math.max(virtualTime, q.servedSlotMs());
+        q.charge(q.holdTime().meanMs(r.maxTokens() * capacity.stepMs()));
     }
 
-    /** Predicts for {@code r}, which has just come, behind all that is queued before it. */
+    /**
+     * Predicts the times of {@code r}, which has just arrived, after all requests queued before it.
+     */
     Prediction predict(AdmissionRequest r, Capacity capacity, long nowMs) {
-        double turns = queue(r).ahead(r, queue(r).size(r.team())) + 1;
-        return predict(r, turns, capacity, nowMs);
+        double waits = queue(r).requestsAhead(r, queue(r).size(r.team())) + 1;
+        return predict(r, waits, capacity, nowMs);
     }
 
-    private Prediction predict(AdmissionRequest r, double turns, Capacity capacity, long nowMs) {
-        double places = Math.max(capacity.fairShareSlots(), load.running());
-        double turnMs = queue(r).turnMs(holdMs(capacity) / places, nowMs);
-        return Prediction.of(r, turns * turnMs, capacity, holdMs(capacity));
+    private Prediction predict(AdmissionRequest r, double waits, Capacity capacity, long nowMs) {
+        double slots = Math.max(capacity.fairShareSlots(), load.running());
+        double headWaitMs = queue(r).headWaitMs(holdMs(capacity) / slots, nowMs);
+        return Prediction.of(r, waits * headWaitMs, capacity, holdMs(capacity));
     }
 
-    /** Tells whether {@code r} would be late even if it were sent now. */
-    boolean tooLate(AdmissionRequest r, Capacity capacity, long nowMs) {
-        if (!tuning.queueDeadlines()) {
+    /** Returns whether {@code r} would be late even if it were sent now. */
+    boolean isTooLate(AdmissionRequest r, Capacity capacity, long nowMs) {
+        if (!settings.queueDeadlines()) {
             return false;
         }
-        return tuning.predictedRefusal()
+        return settings.predictedRefusal()
                 ? !Prediction.of(r, 0, capacity, holdMs(capacity)).meetsTargets(r, nowMs)
                 : nowMs >= r.firstTokenDueMs();
     }
 
     /**
-     * Takes out those that can no longer meet their targets and adds them to {@code late}.
+     * Removes the requests that can no longer meet their targets and adds them to {@code late}.
      *
-     * <p>Failure guarded against: to predict for each team looks at all teams, and with thousands
-     * of them waiting one tick would last longer than the time to the next. Only so many are
-     * predicted for in a tick, in turn; what can't be in time any more is found at once.
+     * <p>A prediction for one team iterates over all teams; with thousands of queued teams a tick
+     * would last longer than the tick interval. Each tick therefore predicts for a limited number
+     * of teams, in rotation; requests that would be late even if sent now are found in every tick.
      */
-    void dropLate(Capacity capacity, long nowMs, List<AdmissionRequest> late) {
-        if (!tuning.queueDeadlines()) {
+    void removeLate(Capacity capacity, long nowMs, List<AdmissionRequest> late) {
+        if (!settings.queueDeadlines()) {
             return;
         }
         for (ClassQueue q : classes.values()) {
             for (TeamId team : q.waitingTeams()) {
-                dropTooLate(q, team, capacity, nowMs, late);
+                removeTooLate(q, team, capacity, nowMs, late);
             }
-            if (tuning.predictedRefusal()) {
-                q.teamsInTurn(PREDICTED_IN_ONE_TICK)
-                        .forEach(team -> dropLate(q, team, capacity, nowMs, late));
+            if (settings.predictedRefusal()) {
+                q.nextTeams(MAX_PREDICTED_TEAMS_PER_TICK)
+                        .forEach(team -> removeLate(q, team, capacity, nowMs, late));
             }
         }
     }
 
-    private void dropTooLate(
+    private void removeTooLate(
             ClassQueue q, TeamId id, Capacity capacity, long nowMs, List<AdmissionRequest> late) {
         for (TeamQueue team = q.team(id); team != null; team = q.team(id)) {
             AdmissionRequest first = team.first();
-            if (!tooLate(first, capacity, nowMs)) {
+            if (!isTooLate(first, capacity, nowMs)) {
                 return;
             }
             q.remove(first);
@@ -193,13 +196,14 @@
     }
 
     /**
-     * Takes out what is predicted to be late of one team.
+     * Removes the requests of one team that are predicted to be late.
      *
-     * <p>Only a team's first and last are tried, until both hold: the first has least time left,
-     * the last waits longest, and one between them comes to the front before it is due. Without
-     * class shares that last does not hold; what is late then waits for the front.
+     * <p>Checks only the team's first and last request, until both are in time: the first has the
+     * least time left, the last waits longest, and each one in between reaches the front before it
+     * is due. Without class shares the latter does not hold; late requests then stay until they
+     * reach the front.
      */
-    private void dropLate(
+    private void removeLate(
             ClassQueue q, TeamId id, Capacity capacity, long nowMs, List<AdmissionRequest> late) {
         for (TeamQueue team = q.team(id); team != null; team = q.team(id)) {
             AdmissionRequest first = team.first();
@@ -218,26 +222,28 @@
     }
 
     private boolean isLate(AdmissionRequest r, int before, Capacity capacity, long nowMs) {
-        double turns = queue(r).ahead(r, before) + TURN_LEFT;
-        return !predict(r, turns, capacity, nowMs).meetsTargets(r, nowMs);
+        double waits = queue(r).requestsAhead(r, before) + REMAINING_WAIT_SHARE;
+        return !predict(r, waits, capacity, nowMs).meetsTargets(r, nowMs);
     }
 
-    private boolean hasPlace(AdmissionRequest r, Capacity capacity, int reserved) {
-        return freeFor(r, capacity, reserved) >= 1;
+    private boolean hasSlot(AdmissionRequest r, Capacity capacity, int reserved) {
+        return freeSlotsFor(r, capacity, reserved) >= 1;
     }
 
-    /** Returns the places that {@code r} may use of those that {@code capacity} has free. */
-    private double freeFor(AdmissionRequest r, Capacity capacity, int reserved) {
-        double extra = prompt.extraPlaces(r, queue(r), capacity, teams.isOverShare(r.team()));
+    /** Returns the free slots of {@code capacity} that {@code r} may use. */
+    private double freeSlotsFor(AdmissionRequest r, Capacity capacity, int reserved) {
+        double extra =
+                latencySensitive.extraSlots(
+                        r, queue(r), capacity, teamWeights.isOverShare(r.team()));
         return capacity.freeSlots() + extra - load.notYetSent() - reserved;
     }
 
     private double holdMs(Capacity capacity) {
-        return load.hold().meanMs(capacity.holdMs());
+        return load.holdTime().meanMs(capacity.holdMs());
     }
 
     private ClassQueue queue(AdmissionRequest r) {
-        WorkClassId id = tuning.classShares() ? r.workClass().id() : ALL;
-        return classes.computeIfAbsent(id, k -> new ClassQueue(teams::weight, tuning));
+        WorkClassId id = settings.classShares() ? r.workClass().id() : ALL_CLASSES;
+        return classes.computeIfAbsent(id, k -> new ClassQueue(teamWeights::weight, settings));
     }
 }
--- a/masticweir/src/test/java/org/masticweir/limits/ManyTeamsTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/ManyTeamsTest.java
@@ -17,7 +17,7 @@
 import org.masticweir.id.TeamId;
 import org.masticweir.id.WorkClassId;
 
-/** Tests a queue in which many teams wait, of which one tick predicts for a few only. */
+/** Tests a queue with so many teams that one tick computes predictions for a part of them only. */
 class ManyTeamsTest {
     private static final int TEAMS = 150;
     private static final int TARGET_MS = 20_000;
@@ -41,18 +41,18 @@
                 0);
     }
 
-    /** The teams that one tick looks at. */
+    /** The teams that one tick checks. */
     @Nested
-    class InTurn {
+    class RoundRobin {
         @Test
-        void allComeUpWithinThreeTurns() {
+        void allTeamsAreReturnedWithinThreeCalls() {
             ClassQueue queue = new ClassQueue(t -> 1, LimitSettings.defaults());
             for (int n = 0; n < TEAMS; n++) {
                 queue.add(request(n), 0);
             }
             Set<TeamId> seen = new HashSet<>();
             for (int turn = 0; turn < 3; turn++) {
-                ImmutableList<TeamId> looked = queue.teamsInTurn(64);
+                ImmutableList<TeamId> looked = queue.nextTeams(64);
                 assertEquals(64, looked.size());
                 seen.addAll(looked);
             }
@@ -60,15 +60,16 @@
         }
     }
 
-    /** A queue that nobody serves. */
+    /** A queue that is not served. */
     @Nested
     class Deadline {
         /*
-         * Callers hang past the moment at which they would have gone elsewhere. Engines are full,
-         * many teams wait, and only some are looked at. Cause: the rest wait for their turn.
+         * Guards against requests that stay queued past their deadline, when their callers could
+         * have retried elsewhere: engines are full, many teams have queued requests, and requests
+         * of teams that a tick doesn't check wait for the rotation.
          */
         @Test
-        void nothingWaitsPastItHoweverManyTeamsThereAre() {
+        void noRequestWaitsPastItWithManyTeams() {
             AdmissionController admission =
                     AdmissionController.create(
                             (m, v, now) -> new Capacity(1, 0, 20, 20, 1_000, 10, 5),
@@ -78,7 +79,7 @@
             for (int n = 0; n < TEAMS; n++) {
                 admission.offer(request(n), 0);
             }
-            assertTrue(admission.status().queued() > 128, "many wait");
+            assertTrue(admission.status().queued() > 128, "many requests queued");
             assertEquals(TEAMS, admission.tick(TARGET_MS).size());
             assertEquals(0, admission.status().queued());
         }
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
@@ -12,7 +12,10 @@
 import org.masticweir.limits.OverloadReplay.Tally;
 import org.masticweir.settings.DaemonSettings;
 
-/** Replays the mix of the Spaarstraal example at one and two times the load, on and off. */
+/**
+ * Replays the request mix of the Spaarstraal example at one and two times the load, with and
+ * without each mechanism.
+ */
 class OverloadTest {
     private static final ImmutableList<Profile> LONG =
             ImmutableList.of(OverloadReplay.REPORTS, OverloadReplay.LETTERS);
@@ -31,12 +34,14 @@
     private static List<OverloadReplay> replay(
             ImmutableList<Profile> mix, double load, String... lines) {
         double rate = (mix.equals(ALL) ? ALL_RATE : LONG_RATE) * load;
-        return OverloadReplay.runs(mix, 2, tuning(lines), rate, 0);
+        return OverloadReplay.runs(mix, 2, limitSettings(lines), rate, 0);
     }
 
-    private static LimitSettings tuning(String... lines) {
+    private static LimitSettings limitSettings(String... lines) {
         return LimitSettings.of(
-                DaemonSettings.parse("r.ini", LimitTuningTest.LEAST + String.join("\n", lines))
+                DaemonSettings.parse(
+                                "r.ini",
+                                LimitTuningTest.MINIMAL_SETTINGS + String.join("\n", lines))
                         .limits());
     }
 
@@ -44,8 +49,8 @@
         return OverloadReplay.sum(runs, r -> r.of(profile));
     }
 
-    /** Prints and returns a replay, a line for each class. */
-    private static List<OverloadReplay> printed(
+    /** Prints and returns a replay, one line for each class. */
+    private static List<OverloadReplay> replayAndPrint(
             ImmutableList<Profile> mix, double load, String... lines) {
         List<OverloadReplay> replay = replay(mix, load, lines);
         System.out.printf("%.1fx %s%n", load, String.join(", ", lines));
@@ -53,7 +58,7 @@
         return replay;
     }
 
-    private static void assertKept(
+    private static void assertGoodputKept(
             List<OverloadReplay> once, List<OverloadReplay> twice, ImmutableList<Profile> mix) {
         for (Profile p : mix) {
             Tally at1 = of(once, p);
@@ -66,56 +71,62 @@
     @Nested
     class TwiceTheLoad {
         /*
-         * Families wait for letters that never come, while reports are served as ever. Reports
-         * arrive at more than the engines can take; each free place goes to one of them, and all
-         * letters are refused. Cause: the class with the shorter target always went first.
+         * Guards against starvation of letters by reports. Reports arrive at a higher rate than the
+         * engines can serve; if the class with the shorter target is always served first, each free
+         * slot goes to a report and all letters are refused.
          */
         @Test
         void lettersKeepTheirShareBesideReports() {
-            List<OverloadReplay> once = printed(LONG, 1);
-            List<OverloadReplay> twice = printed(LONG, 2);
-            assertKept(once, twice, LONG);
+            List<OverloadReplay> once = replayAndPrint(LONG, 1);
+            List<OverloadReplay> twice = replayAndPrint(LONG, 2);
+            assertGoodputKept(once, twice, LONG);
             assertTrue(of(twice, OverloadReplay.LETTERS).share() >= 0.98);
         }
 
         /*
-         * Advisers wait at the door for a lookup while reports queue for the same engines. All
-         * places are taken for seconds, and those that come free are too few for a burst of
-         * lookups. Cause: no place is left for work that can't wait for one.
+         * Guards against late lookups while reports queue for the same engines. Without reserved
+         * slots all slots are occupied for seconds, and too few become free for a burst of lookups.
          */
         @Test
         void lookupsAndConfirmationsAreInTimeWhereReportsQueue() {
-            List<OverloadReplay> once = printed(ALL, 1);
-            List<OverloadReplay> twice = printed(ALL, 2);
+            List<OverloadReplay> once = replayAndPrint(ALL, 1);
+            List<OverloadReplay> twice = replayAndPrint(ALL, 2);
             List<OverloadReplay> off =
-                    printed(ALL, 2, "headroom_percent = 0", "overcommit_percent = 0");
-            assertKept(once, twice, ALL);
+                    replayAndPrint(ALL, 2, "headroom_percent = 0", "overcommit_percent = 0");
+            assertGoodputKept(once, twice, ALL);
             assertTrue(of(twice, OverloadReplay.LOOKUPS).share() >= 0.95);
             assertTrue(of(twice, OverloadReplay.CONFIRMATIONS).share() >= 0.95);
             assertTrue(of(off, OverloadReplay.LOOKUPS).share() < 0.8);
         }
 
         /*
-         * Callers hear only after seconds that they should come back later. What can't be served
-         * in time waits until its target has passed. Cause: nothing predicts the wait.
+         * Guards against late refusals. Without a prediction of the wait, a request that can't be
+         * served in time stays queued until its target has passed, and its caller receives the
+         * refusal only after seconds.
          */
         @Test
-        void whatCannotBeServedIsToldEarly() {
+        void lateRequestsAreRefusedEarly() {
             Tally on = of(replay(LONG, 2), OverloadReplay.REPORTS);
-            Tally off = of(printed(LONG, 2, "predicted_refusal = false"), OverloadReplay.REPORTS);
+            Tally off =
+                    of(
+                            replayAndPrint(LONG, 2, "predicted_refusal = false"),
+                            OverloadReplay.REPORTS);
             assertTrue(2 * on.refusedAfterMs / on.refused < off.refusedAfterMs / off.refused);
             assertTrue(on.late < off.late, on + ", " + off);
             assertTrue(on.inTarget > off.inTarget, on + ", " + off);
         }
     }
 
-    /** Each mechanism against the same without it. */
+    /** Each mechanism compared with the same replay without it. */
     @Nested
     class Mechanisms {
-        /** Returns the least part of a class's goodput at 1x that is left at {@code load}. */
-        private double leastKept(ImmutableList<Profile> mix, double load, String... lines) {
+        /**
+         * Returns the lowest ratio, over the classes, of the goodput at {@code load} to the goodput
+         * at 1x.
+         */
+        private double minGoodputKept(ImmutableList<Profile> mix, double load, String... lines) {
             List<OverloadReplay> once = replay(mix, 1);
-            List<OverloadReplay> more = printed(mix, load, lines);
+            List<OverloadReplay> more = replayAndPrint(mix, load, lines);
             return mix.stream()
                     .mapToDouble(p -> (double) of(more, p).inTarget / of(once, p).inTarget)
                     .min()
@@ -125,35 +136,37 @@
         @ParameterizedTest
         @ValueSource(doubles = {1.5, 2})
         void classSharesKeepEachClass(double load) {
-            double on = leastKept(ALL, load);
-            double off = leastKept(ALL, load, "class_shares = false");
+            double on = minGoodputKept(ALL, load);
+            double off = minGoodputKept(ALL, load, "class_shares = false");
             assertTrue(on >= 0.9 && off < 0.9, on + " with, " + off + " without");
         }
 
         @ParameterizedTest
         @ValueSource(strings = {"headroom_percent = 0", "overcommit_percent = 0"})
-        void roomForPromptClassesKeepsLookupsInTime(String off) {
+        void headroomAndOvercommitKeepLookupsInTime(String off) {
             double on = of(replay(ALL, 2), OverloadReplay.LOOKUPS).share();
-            double without = of(printed(ALL, 2, off), OverloadReplay.LOOKUPS).share();
+            double without = of(replayAndPrint(ALL, 2, off), OverloadReplay.LOOKUPS).share();
             assertTrue(on >= 0.95 && without <= on - 0.03, on + " with, " + without + " without");
         }
 
         @ParameterizedTest
         @ValueSource(doubles = {1.5, 2})
         void queueDeadlinesKeepReports(double load) {
-            double on = leastKept(LONG, load);
+            double on = minGoodputKept(LONG, load);
             double off =
-                    leastKept(LONG, load, "predicted_refusal = false", "queue_deadlines = false");
+                    minGoodputKept(
+                            LONG, load, "predicted_refusal = false", "queue_deadlines = false");
             assertTrue(on >= 0.9 && off < 0.5, on + " with, " + off + " without");
         }
     }
 
-    /** A large team's burst beside the teams that ask for little. */
+    /** A large team's burst together with teams of low usage. */
     @Nested
     class Burst {
         /*
-         * Reports of small teams are refused whenever the large one submits its season's work:
-         * more than twice what the engines take. Cause: teams are served in the order of arrival.
+         * Guards against refused reports of small teams while the large team submits a season's
+         * work, more than twice the rate that the engines can serve. This happens if teams are
+         * served in order of arrival.
          */
         @Test
         void smallTeamsKeepTheirTargets() {
@@ -165,12 +178,12 @@
         }
 
         /*
-         * With more routers the same burst costs small teams their targets again: each router sees
-         * an eighth of it, which is hardly above the large team's share there. Cause: the routers
-         * don't know of each other's part.
+         * Guards against the same fault with more routers: each router receives an eighth of the
+         * burst, which is hardly above the large team's share there. Without the usage of the other
+         * routers it does not reduce the team's weight.
          */
         @Test
-        void routersThatTellEachOtherKeepThemAmongEight() {
+        void usageExchangeKeepsTargetsWithEightRouters() {
             Tally on = burst(new OverloadReplay.Fleet(8, true));
             Tally off = burst(new OverloadReplay.Fleet(8, false));
             assertTrue(on.share() >= 0.9, on.toString());
@@ -184,7 +197,7 @@
         private Tally burst(OverloadReplay.Fleet fleet, String... lines) {
             double rate = LONG_RATE * 0.6;
             List<OverloadReplay> runs =
-                    OverloadReplay.runs(LONG, 2, fleet, tuning(lines), rate, LONG_RATE * 2);
+                    OverloadReplay.runs(LONG, 2, fleet, limitSettings(lines), rate, LONG_RATE * 2);
             Tally small = OverloadReplay.sum(runs, r -> r.ofSmallTeams(OverloadReplay.REPORTS));
             System.out.printf("burst %s %s%n  %s%n", fleet, String.join(", ", lines), small);
             return small;
