--- a/masticweir/src/main/java/org/masticweir/relay/AnswerMetadata.java
+++ b/masticweir/src/main/java/org/masticweir/relay/AnswerMetadata.java
@@ -29,8 +29,8 @@
         boolean isLeaving,
         OptionalLong pauseMs) {
     public AnswerMetadata {
-        checkNotNull(requestId, "request");
-        checkNotNull(requestCount, "present");
+        checkNotNull(requestId, "requestId");
+        checkNotNull(requestCount, "requestCount");
         checkNotNull(limit, "limit");
         checkNotNull(pauseMs, "pauseMs");
     }
--- a/masticweir/src/main/java/org/masticweir/relay/AnswerMetadataRecorder.java
+++ b/masticweir/src/main/java/org/masticweir/relay/AnswerMetadataRecorder.java
@@ -25,7 +25,7 @@
 
     private final ServerNotices notices;
     private final SharedLimits limits;
-    private final PlatformProtocol dialect;
+    private final PlatformProtocol protocol;
     private final Clock clock;
     private final Counter leaving;
     private final Counter pauses;
@@ -33,12 +33,12 @@
     AnswerMetadataRecorder(
             ServerNotices notices,
             SharedLimits limits,
-            PlatformProtocol dialect,
+            PlatformProtocol protocol,
             Clock clock,
             MetricRegistry metrics) {
         this.notices = checkNotNull(notices, "notices");
         this.limits = checkNotNull(limits, "limits");
-        this.dialect = checkNotNull(dialect, "dialect");
+        this.protocol = checkNotNull(protocol, "protocol");
         this.clock = checkNotNull(clock, "clock");
         leaving = metrics.counter(MetricName.of("servers_said_leaving_total"));
         pauses = metrics.counter(MetricName.of("server_pauses_total"));
@@ -50,19 +50,20 @@
      * @param request the request it answered, for the log
      * @param sentMs when that request left
      */
-    void heard(ServerIncarnation server, AnswerMetadata word, String request, long sentMs) {
-        limits.handleAnswer(server, word.limit(), request, sentMs);
-        take(server, word, request);
+    void recordAnswer(
+            ServerIncarnation server, AnswerMetadata metadata, String request, long sentMs) {
+        limits.handleAnswer(server, metadata.limit(), request, sentMs);
+        recordAnnouncements(server, metadata, request);
     }
 
     /** A server was called for its state, or for what it keeps. */
-    void called(ServerIncarnation server, HttpOutcome outcome) {
+    void recordCall(ServerIncarnation server, HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answered) {
             HttpAnswer answer = answered.answer();
             HttpHead head = new HttpHead(answer.status(), HttpHeaders.copyOf(answer.headers()));
-            AnswerMetadata word = dialect.parseAnswerMetadata(head);
-            if (!word.isWrongServer()) {
-                take(server, word, "a call for its state");
+            AnswerMetadata metadata = protocol.parseAnswerMetadata(head);
+            if (!metadata.isWrongServer()) {
+                recordAnnouncements(server, metadata, "a call for its state");
             }
         }
     }
@@ -72,15 +73,16 @@
         return notices.remainingPauseMs(server, clock.nowMs()) > 0;
     }
 
-    private void take(ServerIncarnation server, AnswerMetadata word, String request) {
-        if (word.isLeaving() && notices.recordLeaving(server, clock.nowMs())) {
+    private void recordAnnouncements(
+            ServerIncarnation server, AnswerMetadata metadata, String request) {
+        if (metadata.isLeaving() && notices.recordLeaving(server, clock.nowMs())) {
             leaving.inc();
             LOG.info("notices: {} leaves, answer to {}", server, request);
         }
-        word.pauseMs().ifPresent(ms -> pause(server, ms, request));
+        metadata.pauseMs().ifPresent(ms -> recordPause(server, ms, request));
     }
 
-    private void pause(ServerIncarnation server, long ms, String request) {
+    private void recordPause(ServerIncarnation server, long ms, String request) {
         if (notices.recordPause(server, ms, clock.nowMs())) {
             pauses.inc();
             LOG.info("notices: {} takes nothing for {} ms, answer to {}", server, ms, request);
--- a/masticweir/src/main/java/org/masticweir/relay/CallerAnswer.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CallerAnswerWriter.java
@@ -16,28 +16,28 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /** Writes the one answer of a request to its caller; runs on the traffic thread. */
-final class CallerAnswer {
+final class CallerAnswerWriter {
     /** Bytes kept for a caller that doesn't read; more than any answer that callers ask for. */
     private static final int MAX_QUEUED_BYTES = 4 << 20;
 
-    private static final double MS_A_SECOND = 1_000.0;
+    private static final double MS_PER_SECOND = 1_000.0;
 
     private final HttpServerExchange exchange;
-    private final Runnable broken;
+    private final Runnable onBroken;
     private final Deque<ByteBuffer> queue = new ArrayDeque<>();
     private int queuedBytes;
     private StreamSinkChannel sink;
-    private boolean lastQueued;
-    private boolean over;
+    private boolean isLastQueued;
+    private boolean isEnded;
 
     /**
      * Creates the answer of {@code exchange}.
      *
-     * @param broken runs when the caller can't be written to any more
+     * @param onBroken runs when the caller can't be written to any more
      */
-    CallerAnswer(HttpServerExchange exchange, Runnable broken) {
+    CallerAnswerWriter(HttpServerExchange exchange, Runnable onBroken) {
         this.exchange = checkNotNull(exchange, "exchange");
-        this.broken = checkNotNull(broken, "broken");
+        this.onBroken = checkNotNull(onBroken, "onBroken");
     }
 
     /** Returns whether the head of a series of events has been sent. */
@@ -46,19 +46,19 @@
     }
 
     /** Sends a whole answer. */
-    void whole(HttpHead head, byte[] body) {
-        if (over) {
+    void sendComplete(HttpHead head, byte[] body) {
+        if (isEnded) {
             return;
         }
-        over = true;
+        isEnded = true;
         exchange.setStatusCode(head.status());
         head.headers().addTo(exchange.getResponseHeaders());
         exchange.getResponseSender().send(ByteBuffer.wrap(body));
     }
 
     /** Sends an error of this router's own. */
-    void error(ErrorCode code, OptionalLong retryAfterMs, String reason) {
-        if (over) {
+    void sendError(ErrorCode code, OptionalLong retryAfterMs, String reason) {
+        if (isEnded) {
             return;
         }
         if (isStreaming()) {
@@ -66,13 +66,13 @@
             abort();
             return;
         }
-        over = true;
+        isEnded = true;
         exchange.setStatusCode(code.httpStatus());
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         retryAfterMs.ifPresent(
                 ms ->
                         exchange.getResponseHeaders()
-                                .put(Headers.RETRY_AFTER, Double.toString(ms / MS_A_SECOND)));
+                                .put(Headers.RETRY_AFTER, Double.toString(ms / MS_PER_SECOND)));
         String body = "{\"code\":\"" + code + "\",\"message\":\"" + reason + "\"}";
         exchange.getResponseSender().send(ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8)));
     }
@@ -83,8 +83,8 @@
      * <p>Failure guarded against: on a connection that closes after the answer the library lets its
      * end be that of the answer, and one that was cut off looks complete.
      */
-    void startEvents(HttpHead head) {
-        if (over) {
+    void startEventStream(HttpHead head) {
+        if (isEnded) {
             return;
         }
         exchange.setStatusCode(head.status());
@@ -98,14 +98,14 @@
     }
 
     /** Sends one event. */
-    void event(ByteBuffer bytes) {
-        if (over) {
+    void sendEvent(ByteBuffer bytes) {
+        if (isEnded) {
             return;
         }
         queuedBytes += bytes.remaining();
         if (queuedBytes > MAX_QUEUED_BYTES) {
             abort();
-            broken.run();
+            onBroken.run();
             return;
         }
         queue.add(bytes);
@@ -113,19 +113,19 @@
     }
 
     /** Ends a series of events as complete. */
-    void endEvents() {
-        lastQueued = true;
+    void endEventStream() {
+        isLastQueued = true;
         write();
     }
 
     /** Closes the caller's connection, so that what was sent can't be taken for a whole answer. */
     void abort() {
-        over = true;
+        isEnded = true;
         IoUtils.safeClose(exchange.getConnection());
     }
 
     private void write() {
-        if (over) {
+        if (isEnded) {
             return;
         }
         try {
@@ -139,8 +139,8 @@
                 }
                 queue.remove();
             }
-            if (lastQueued) {
-                over = true;
+            if (isLastQueued) {
+                isEnded = true;
                 sink.shutdownWrites();
                 flushLast();
                 return;
@@ -152,7 +152,7 @@
             }
         } catch (IOException e) {
             abort();
-            broken.run();
+            onBroken.run();
         }
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/CallerWatch.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CallerDisconnectDetector.java
@@ -24,63 +24,64 @@
  * more come, they are dropped to see what lies behind them, and the connection ends with the
  * answer.
  */
-final class CallerWatch {
-    private static final Logger LOG = LogManager.getLogger(CallerWatch.class);
-    private static final AttachmentKey<CallerWatch> KEY = AttachmentKey.create(CallerWatch.class);
+final class CallerDisconnectDetector {
+    private static final Logger LOG = LogManager.getLogger(CallerDisconnectDetector.class);
+    private static final AttachmentKey<CallerDisconnectDetector> KEY =
+            AttachmentKey.create(CallerDisconnectDetector.class);
     private static final Runnable NO_OP = () -> {};
 
     private final HttpServerConnection connection;
     private HttpServerExchange exchange;
-    private Runnable left = NO_OP;
+    private Runnable onDisconnect = NO_OP;
 
     /** Bytes of a next request, ready to be added to. */
-    private Optional<PooledByteBuffer> ahead = Optional.empty();
+    private Optional<PooledByteBuffer> nextRequestBytes = Optional.empty();
 
-    private boolean dropsBytes;
+    private boolean hasDroppedBytes;
 
-    private CallerWatch(HttpServerConnection connection) {
+    private CallerDisconnectDetector(HttpServerConnection connection) {
         this.connection = connection;
     }
 
     /** Has {@code left} run if the caller leaves; call once the whole request has been read. */
-    static CallerWatch start(HttpServerExchange exchange, Runnable left) {
+    static CallerDisconnectDetector start(HttpServerExchange exchange, Runnable onDisconnect) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
-        CallerWatch watch = connection.getAttachment(KEY);
-        if (watch == null) {
+        CallerDisconnectDetector detector = connection.getAttachment(KEY);
+        if (detector == null) {
             // One for all requests of the connection, as close listeners can't be taken back.
-            CallerWatch created = new CallerWatch(connection);
+            CallerDisconnectDetector created = new CallerDisconnectDetector(connection);
             connection.putAttachment(KEY, created);
-            connection.addCloseListener(c -> created.tell());
-            watch = created;
+            connection.addCloseListener(c -> created.notifyListener());
+            detector = created;
         }
-        watch.begin(exchange, checkNotNull(left, "left"));
-        return watch;
+        detector.begin(exchange, checkNotNull(onDisconnect, "onDisconnect"));
+        return detector;
     }
 
-    private void begin(HttpServerExchange watched, Runnable then) {
+    private void begin(HttpServerExchange watched, Runnable listener) {
         exchange = watched;
-        left = then;
-        dropsBytes = false;
-        ahead = Optional.ofNullable(connection.getExtraBytes());
+        onDisconnect = listener;
+        hasDroppedBytes = false;
+        nextRequestBytes = Optional.ofNullable(connection.getExtraBytes());
         connection.setExtraBytes(null);
-        ahead.ifPresent(bytes -> bytes.getBuffer().compact());
+        nextRequestBytes.ifPresent(bytes -> bytes.getBuffer().compact());
         connection.getChannel().getSourceChannel().getReadSetter().set(c -> checkClosed());
         connection.getOriginalSourceConduit().resumeReads();
     }
 
     /** Stops watching, before the answer ends. */
     void stop() {
-        if (left != NO_OP) {
-            left = NO_OP;
+        if (onDisconnect != NO_OP) {
+            onDisconnect = NO_OP;
             connection.getOriginalSourceConduit().suspendReads();
-            ahead.ifPresent(this::giveBack);
-            ahead = Optional.empty();
+            nextRequestBytes.ifPresent(this::returnToLibrary);
+            nextRequestBytes = Optional.empty();
         }
     }
 
-    private void giveBack(PooledByteBuffer bytes) {
+    private void returnToLibrary(PooledByteBuffer bytes) {
         bytes.getBuffer().flip();
-        if (bytes.getBuffer().hasRemaining() && !dropsBytes) {
+        if (bytes.getBuffer().hasRemaining() && !hasDroppedBytes) {
             connection.ungetRequestBytes(bytes);
         } else {
             bytes.close();
@@ -94,49 +95,49 @@
      * up, and the request is sent to a server before the close, which lies behind it, is seen.
      */
     void checkClosed() {
-        if (left == NO_OP) {
+        if (onDisconnect == NO_OP) {
             return;
         }
         StreamSourceConduit source = connection.getOriginalSourceConduit();
         try {
-            ByteBuffer buffer = roomAhead();
+            ByteBuffer buffer = nextRequestBuffer();
             int count = source.read(buffer);
             while (count > 0 && buffer.hasRemaining()) {
                 count = source.read(buffer);
             }
             if (count < 0) {
-                hangUp();
+                handleDisconnect();
             }
         } catch (IOException e) {
             LOG.debug("relay: caller's connection broke, {}", e.getMessage());
-            hangUp();
+            handleDisconnect();
         }
     }
 
     /** Returns the buffer for bytes of a next request; drops those in it if it is full. */
-    private ByteBuffer roomAhead() {
-        if (ahead.isEmpty()) {
-            ahead = Optional.of(connection.getByteBufferPool().allocate());
+    private ByteBuffer nextRequestBuffer() {
+        if (nextRequestBytes.isEmpty()) {
+            nextRequestBytes = Optional.of(connection.getByteBufferPool().allocate());
         }
-        ByteBuffer buffer = ahead.get().getBuffer();
+        ByteBuffer buffer = nextRequestBytes.get().getBuffer();
         if (!buffer.hasRemaining()) {
-            dropsBytes = true;
+            hasDroppedBytes = true;
             exchange.setPersistent(false);
             buffer.clear();
         }
         return buffer;
     }
 
-    private void hangUp() {
+    private void handleDisconnect() {
         IoUtils.safeClose(connection);
-        tell();
+        notifyListener();
     }
 
-    private void tell() {
-        Runnable told = left;
-        left = NO_OP;
-        ahead.ifPresent(PooledByteBuffer::close);
-        ahead = Optional.empty();
-        told.run();
+    private void notifyListener() {
+        Runnable listener = onDisconnect;
+        onDisconnect = NO_OP;
+        nextRequestBytes.ifPresent(PooledByteBuffer::close);
+        nextRequestBytes = Optional.empty();
+        listener.run();
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/CallersPort.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CallersPort.java
@@ -28,39 +28,39 @@
     private static final Logger LOG = LogManager.getLogger(CallersPort.class);
 
     /** Longest wait for the deployment, in ms; callers give up what nobody reads for a second. */
-    static final long MOST_MS = 500;
+    static final long MAX_STARTUP_WAIT_MS = 500;
 
     /** Time between two looks, in ms; small beside what a caller waits already. */
-    private static final long LOOK_MS = 5;
+    private static final long CHECK_INTERVAL_MS = 5;
 
     private final StartupListener listener;
     private final RelayPorts ports;
     private final InetSocketAddress address;
-    private final BooleanSupplier ready;
+    private final BooleanSupplier isReady;
     private final ScheduledExecutorService control;
     private final Clock clock;
-    private final long beganMs;
+    private final long startedMs;
     private final CompletableFuture<Void> opened = new CompletableFuture<>();
-    private volatile Optional<EarlyConnections> early = Optional.empty();
+    private volatile Optional<EarlyConnectionProxy> earlyConnections = Optional.empty();
 
     CallersPort(
             StartupListener listener,
             RelayPorts ports,
             InetSocketAddress address,
-            BooleanSupplier ready,
+            BooleanSupplier isReady,
             ScheduledExecutorService control,
             Clock clock) {
         this.listener = checkNotNull(listener, "listener");
         this.ports = checkNotNull(ports, "ports");
         this.address = checkNotNull(address, "address");
-        this.ready = checkNotNull(ready, "ready");
+        this.isReady = checkNotNull(isReady, "isReady");
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
-        beganMs = clock.nowMs();
+        startedMs = clock.nowMs();
     }
 
     void openWhenReady() {
-        control.execute(this::look);
+        control.execute(this::checkReady);
     }
 
     /** Completes when the router itself takes connections at the port. */
@@ -68,11 +68,11 @@
         return opened.copy();
     }
 
-    private void look() {
-        if (ready.getAsBoolean() || clock.nowMs() - beganMs >= MOST_MS) {
+    private void checkReady() {
+        if (isReady.getAsBoolean() || clock.nowMs() - startedMs >= MAX_STARTUP_WAIT_MS) {
             open();
         } else {
-            control.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+            control.schedule(this::checkReady, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -83,7 +83,7 @@
             opened.complete(null);
             LOG.info("router: serves callers at {}", address);
             if (!waiting.isEmpty()) {
-                early = Optional.of(EarlyConnections.start(waiting, address));
+                earlyConnections = Optional.of(EarlyConnectionProxy.start(waiting, address));
             }
         } catch (IOException e) {
             LOG.error("router: connections made while it started are lost", e);
@@ -96,8 +96,8 @@
     public void close() {
         try {
             listener.close();
-            if (early.isPresent()) {
-                early.get().close();
+            if (earlyConnections.isPresent()) {
+                earlyConnections.get().close();
             }
         } catch (IOException e) {
             LOG.warn("router: the callers' port is not closed well, {}", e.getMessage());
--- a/masticweir/src/main/java/org/masticweir/relay/ContentTrial.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ContentTrial.java
@@ -19,10 +19,10 @@
 final class ContentTrial {
     private final RelayContext context;
     private final Supplier<ContentId> content;
-    private int events;
-    private long beganMs;
-    private boolean onTrial;
-    private boolean ranWell;
+    private int eventCount;
+    private long firstEventMs;
+    private boolean isOnTrial;
+    private boolean isSuccessRecorded;
 
     ContentTrial(RelayContext context, RelayRequest request) {
         this.context = checkNotNull(context, "context");
@@ -34,7 +34,7 @@
     }
 
     /** Returns the gate that each send of the request passes. */
-    ContentPolicy gate() {
+    ContentPolicy policy() {
         return new ContentPolicy() {
             @Override
             public SendRule rule(long nowMs) {
@@ -49,35 +49,35 @@
     }
 
     /** Returns how many events the send under way has brought, or the last one did. */
-    int events() {
-        return events;
+    int eventCount() {
+        return eventCount;
     }
 
-    void sendBegins() {
-        events = 0;
-        ranWell = false;
-        onTrial = context.quarantine().beginTrial(content);
+    void beginSend() {
+        eventCount = 0;
+        isSuccessRecorded = false;
+        isOnTrial = context.quarantine().beginTrial(content);
     }
 
-    void event(long nowMs) {
-        if (events == 0) {
-            beganMs = nowMs;
+    void recordEvent(long nowMs) {
+        if (eventCount == 0) {
+            firstEventMs = nowMs;
         }
-        events++;
-        if (!ranWell && !hasJustBegun(nowMs)) {
-            ranWell = true;
+        eventCount++;
+        if (!isSuccessRecorded && !hasJustBegun(nowMs)) {
+            isSuccessRecorded = true;
             context.quarantine().recordSuccess(content);
         }
     }
 
     /** The whole answer came. */
-    void answered() {
+    void recordAnswer() {
         context.quarantine().recordSuccess(content);
     }
 
-    void sendEnds() {
-        if (onTrial) {
-            onTrial = false;
+    void endSend() {
+        if (isOnTrial) {
+            isOnTrial = false;
             context.quarantine().endTrial(content.get());
         }
     }
@@ -88,19 +88,19 @@
      *
      * @param broke whether it broke the connection
      */
-    void lost(BackendServer server, long sentMs, boolean broke, long nowMs) {
+    void recordLoss(BackendServer server, long sentMs, boolean broke, long nowMs) {
         RelayView view = context.view().get();
-        boolean stays =
+        boolean isExpectedToRun =
                 view.server(server.incarnation())
-                        .filter(s -> !context.placement().isLeaving(s))
+                        .filter(s -> !context.selector().isLeaving(s))
                         .isPresent();
-        if (stays && hasJustBegun(nowMs)) {
-            context.losses().lost(content.get(), server, sentMs, broke, view.catalog());
+        if (isExpectedToRun && hasJustBegun(nowMs)) {
+            context.lossInquiry().handleLoss(content.get(), server, sentMs, broke, view.catalog());
         }
     }
 
     /** Returns whether the server of the send has run the request for less than a trial lasts. */
     boolean hasJustBegun(long nowMs) {
-        return events == 0 || nowMs - beganMs < Quarantine.TRIAL_MS;
+        return eventCount == 0 || nowMs - firstEventMs < Quarantine.TRIAL_MS;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/DrainingAdmission.java
+++ b/masticweir/src/main/java/org/masticweir/relay/DrainingAdmission.java
@@ -26,12 +26,12 @@
     static final long STREAM_ADMISSION_MS = BALANCER_DETECTION_MS - 200;
 
     /** Least time after which a refused caller may come back, in ms: here it has no chance. */
-    private static final long LEAST_RETURN_MS = 200;
+    private static final long MIN_RETRY_MS = 200;
 
     private final AtomicInteger inFlightCount = new AtomicInteger();
-    private volatile boolean leaving;
-    private volatile boolean closed;
-    private volatile long beganMs;
+    private volatile boolean isDraining;
+    private volatile boolean isClosed;
+    private volatile long startedMs;
     private volatile long endsMs;
 
     void requestStarted() {
@@ -52,24 +52,24 @@
      */
     void startDraining(long sinceMs, long untilMs) {
         checkArgument(untilMs >= sinceMs, "leaves until %s, before %s", untilMs, sinceMs);
-        beganMs = sinceMs;
+        startedMs = sinceMs;
         endsMs = untilMs;
-        leaving = true;
+        isDraining = true;
     }
 
     /** Takes nothing more; what is under way goes on. */
     void close() {
-        closed = true;
+        isClosed = true;
     }
 
     boolean isDraining() {
-        return leaving;
+        return isDraining;
     }
 
     /** Returns whether a request that ends within {@code timeoutMs} is taken. */
     boolean admits(long timeoutMs, long nowMs) {
-        if (closed || !leaving) {
-            return !closed;
+        if (isClosed || !isDraining) {
+            return !isClosed;
         }
         return nowMs + timeoutMs < endsMs;
     }
@@ -80,17 +80,17 @@
      * @param expectedMs time in which it should end; empty if that is not known
      */
     boolean admitsStream(OptionalLong expectedMs, long nowMs) {
-        if (closed || !leaving) {
-            return !closed;
+        if (isClosed || !isDraining) {
+            return !isClosed;
         }
-        return nowMs - beganMs < STREAM_ADMISSION_MS
+        return nowMs - startedMs < STREAM_ADMISSION_MS
                 && expectedMs.isPresent()
                 && nowMs + expectedMs.getAsLong() <= endsMs;
     }
 
     /** Returns the time since the order to leave, in ms. */
-    long leavingForMs(long nowMs) {
-        return nowMs - beganMs;
+    long drainingForMs(long nowMs) {
+        return nowMs - startedMs;
     }
 
     /** Returns the time until requests must have ended, in ms. */
@@ -99,7 +99,7 @@
     }
 
     /** Returns the time until the balancer sends nothing more here, in ms. */
-    long balancerMs(long nowMs) {
-        return Math.max(LEAST_RETURN_MS, beganMs + BALANCER_DETECTION_MS - nowMs);
+    long balancerDetectionLeftMs(long nowMs) {
+        return Math.max(MIN_RETRY_MS, startedMs + BALANCER_DETECTION_MS - nowMs);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/EarlyConnections.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EarlyConnectionProxy.java
@@ -22,8 +22,8 @@
  * <p>The I/O library opens its own sockets and takes over none. Only the connections of one start
  * come this way, some dozens; a copy of their bytes costs less than what their callers would lose.
  */
-final class EarlyConnections implements AutoCloseable {
-    private static final Logger LOG = LogManager.getLogger(EarlyConnections.class);
+final class EarlyConnectionProxy implements AutoCloseable {
+    private static final Logger LOG = LogManager.getLogger(EarlyConnectionProxy.class);
 
     /** Bytes on their way in one direction of one connection; an event has less than a tenth. */
     private static final int BUFFER_BYTES = 8 << 10;
@@ -35,23 +35,23 @@
      * Pairs that are not closed; belongs to the thread. The selector's own keys don't tell: a
      * closed one stays among them until the next selection, which may wait for ever.
      */
-    private int open;
+    private int openPairs;
 
-    private EarlyConnections(Selector selector, InetSocketAddress router) {
+    private EarlyConnectionProxy(Selector selector, InetSocketAddress router) {
         this.selector = selector;
         this.router = router;
     }
 
     /** Starts passing on what {@code callers} send to the router that listens at {@code router}. */
-    static EarlyConnections start(List<SocketChannel> callers, InetSocketAddress router) {
+    static EarlyConnectionProxy start(List<SocketChannel> callers, InetSocketAddress router) {
         checkNotNull(router, "router");
         try {
-            EarlyConnections early = new EarlyConnections(Selector.open(), router);
+            EarlyConnectionProxy proxy = new EarlyConnectionProxy(Selector.open(), router);
             LOG.info("router: {} callers connected while it started", callers.size());
-            Thread thread = new Thread(() -> early.run(callers), "early-connections");
+            Thread thread = new Thread(() -> proxy.run(callers), "early-connections");
             thread.setDaemon(true);
             thread.start();
-            return early;
+            return proxy;
         } catch (IOException e) {
             throw new UncheckedIOException("early connections cannot be passed on", e);
         }
@@ -63,10 +63,10 @@
     }
 
     private void run(List<SocketChannel> callers) {
-        callers.forEach(this::admit);
+        callers.forEach(this::addPair);
         try {
-            while (open > 0) {
-                selector.select(key -> ((Pair) key.attachment()).move());
+            while (openPairs > 0) {
+                selector.select(key -> ((Pair) key.attachment()).forwardBytes());
             }
             selector.close();
         } catch (ClosedSelectorException e) {
@@ -76,12 +76,12 @@
         }
     }
 
-    private void admit(SocketChannel caller) {
+    private void addPair(SocketChannel caller) {
         Pair pair = new Pair(caller);
-        open++;
+        openPairs++;
         try {
             caller.configureBlocking(false);
-            if (pair.callerHasLeft()) {
+            if (pair.readCaller()) {
                 pair.close();
             } else {
                 pair.connect();
@@ -95,12 +95,12 @@
     /** A caller's connection and the one to the router that goes with it. */
     private final class Pair {
         private final SocketChannel caller;
-        private final ByteBuffer up = ByteBuffer.allocate(BUFFER_BYTES);
-        private final ByteBuffer down = ByteBuffer.allocate(BUFFER_BYTES);
-        private SocketChannel inner;
+        private final ByteBuffer toRouter = ByteBuffer.allocate(BUFFER_BYTES);
+        private final ByteBuffer toCaller = ByteBuffer.allocate(BUFFER_BYTES);
+        private SocketChannel routerChannel;
         private SelectionKey callerKey;
-        private SelectionKey innerKey;
-        private boolean closed;
+        private SelectionKey routerKey;
+        private boolean isClosed;
 
         Pair(SocketChannel caller) {
             this.caller = caller;
@@ -112,9 +112,9 @@
          * <p>Failure guarded against: a caller gives up because nobody reads its request, and the
          * request runs all the same.
          */
-        boolean callerHasLeft() throws IOException {
-            while (up.hasRemaining()) {
-                int count = caller.read(up);
+        boolean readCaller() throws IOException {
+            while (toRouter.hasRemaining()) {
+                int count = caller.read(toRouter);
                 if (count <= 0) {
                     return count < 0;
                 }
@@ -123,11 +123,11 @@
         }
 
         void connect() throws IOException {
-            inner = SocketChannel.open(router);
-            inner.configureBlocking(false);
+            routerChannel = SocketChannel.open(router);
+            routerChannel.configureBlocking(false);
             callerKey = caller.register(selector, 0, this);
-            innerKey = inner.register(selector, 0, this);
-            move();
+            routerKey = routerChannel.register(selector, 0, this);
+            forwardBytes();
         }
 
         /**
@@ -136,28 +136,28 @@
          * <p>A caller's last bytes are passed on only once nothing was found behind them: a close
          * that is read along with them ends the pair, and the router gets no whole request.
          */
-        void move() {
+        void forwardBytes() {
             try {
-                if (callerHasLeft()) {
+                if (readCaller()) {
                     close();
                     return;
                 }
-                passOn(up, inner);
-                boolean answered = inner.read(down) < 0;
-                passOn(down, caller);
-                if (answered && down.position() == 0) {
+                write(toRouter, routerChannel);
+                boolean answered = routerChannel.read(toCaller) < 0;
+                write(toCaller, caller);
+                if (answered && toCaller.position() == 0) {
                     close();
                     return;
                 }
-                callerKey.interestOps(interest(up, down));
-                innerKey.interestOps(interest(down, up));
+                callerKey.interestOps(interest(toRouter, toCaller));
+                routerKey.interestOps(interest(toCaller, toRouter));
             } catch (IOException e) {
                 LOG.debug("router: an early connection ends, {}", e.getMessage());
                 close();
             }
         }
 
-        private void passOn(ByteBuffer buffer, SocketChannel to) throws IOException {
+        private void write(ByteBuffer buffer, SocketChannel to) throws IOException {
             buffer.flip();
             to.write(buffer);
             buffer.compact();
@@ -171,12 +171,12 @@
         }
 
         void close() {
-            if (!closed) {
-                closed = true;
-                open--;
+            if (!isClosed) {
+                isClosed = true;
+                openPairs--;
             }
             IoUtils.safeClose(caller);
-            IoUtils.safeClose(inner);
+            IoUtils.safeClose(routerChannel);
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/AliveCheck.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EngineStatusProbe.java
@@ -15,31 +15,31 @@
  * without a sign. It is silent while it reads in any case, so silence says nothing, and waiting for
  * the longest reading time would cost the goal. A living engine answers this call at once.
  */
-final class AliveCheck {
-    private static final Logger LOG = LogManager.getLogger(AliveCheck.class);
+final class EngineStatusProbe {
+    private static final Logger LOG = LogManager.getLogger(EngineStatusProbe.class);
 
     /** Time for the answer, in ms: a way there and back and a busy engine's turn. */
-    private static final long ANSWER_MS = 300;
+    private static final long TIMEOUT_MS = 300;
 
-    private AliveCheck() {}
+    private EngineStatusProbe() {}
 
     /** Tells {@code then}, once, what {@code engine} says; nothing if it is gone or silent. */
-    static void ask(
-            RelayContext context, BackendServer engine, Consumer<Optional<EngineReport>> then) {
+    static void probe(
+            RelayContext context, BackendServer engine, Consumer<Optional<EngineReport>> callback) {
         context.limits().recordProbe(engine.incarnation());
         context.calls()
-                .call(context.dialect().engineProbeCall(engine), ANSWER_MS)
+                .call(context.protocol().engineProbeCall(engine), TIMEOUT_MS)
                 .thenAccept(
                         outcome -> {
-                            context.notices().called(engine.incarnation(), outcome);
-                            then.accept(report(context.dialect(), outcome));
+                            context.answerMetadata().recordCall(engine.incarnation(), outcome);
+                            callback.accept(parseReport(context.protocol(), outcome));
                         });
     }
 
-    static Optional<EngineReport> report(PlatformProtocol dialect, HttpOutcome outcome) {
+    static Optional<EngineReport> parseReport(PlatformProtocol protocol, HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answered && answered.answer().isSuccess()) {
             try {
-                return Optional.of(dialect.parseEngineReport(answered.answer().text()));
+                return Optional.of(protocol.parseEngineReport(answered.answer().text()));
             } catch (IllegalArgumentException e) {
                 LOG.warn("relay: an engine's report is not understood, {}", e.getMessage());
             }
--- a/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
@@ -16,72 +16,73 @@
 final class EventRelay {
     private final RelayContext context;
     private final RequestParameters plan;
-    private final RequestStateMachine course;
-    private final CallerAnswer answer;
-    private final RelayMetrics.ForRequest metrics;
+    private final RequestStateMachine machine;
+    private final CallerAnswerWriter answer;
+    private final RelayMetrics.RequestMetrics metrics;
     private final RequestLog log;
 
     private long firstMs;
     private long lastMs;
-    private boolean resuming;
+    private boolean isResuming;
 
     EventRelay(
             RelayContext context,
             RequestParameters plan,
-            RequestStateMachine course,
-            CallerAnswer answer,
-            RelayMetrics.ForRequest metrics,
+            RequestStateMachine machine,
+            CallerAnswerWriter answer,
+            RelayMetrics.RequestMetrics metrics,
             RequestLog log) {
         this.context = checkNotNull(context, "context");
         this.plan = checkNotNull(plan, "plan");
-        this.course = checkNotNull(course, "course");
+        this.machine = checkNotNull(machine, "machine");
         this.answer = checkNotNull(answer, "answer");
         this.metrics = checkNotNull(metrics, "metrics");
         this.log = checkNotNull(log, "log");
     }
 
     /** The server of the events so far is lost; the next one comes from another. */
-    void serverLost() {
-        resuming = answer.isStreaming();
+    void handleServerLoss() {
+        isResuming = answer.isStreaming();
     }
 
     /** Passes on an event of {@code server}, unless the caller has it. */
-    void event(BackendServer server, HttpHead head, ByteBuffer bytes, OptionalLong id, long nowMs) {
+    void forward(
+            BackendServer server, HttpHead head, ByteBuffer bytes, OptionalLong id, long nowMs) {
         if (callerHas(id)) {
             return;
         }
         if (!answer.isStreaming()) {
             firstMs = nowMs;
-            metrics.firstEvent(nowMs - plan.receivedMs());
-            begin(head);
-        } else if (resuming) {
-            resuming = false;
-            context.metrics().resumed(server, nowMs - lastMs);
-            log.goesOn(server, nowMs - lastMs);
+            metrics.recordFirstEvent(nowMs - plan.receivedMs());
+            startEventStream(head);
+        } else if (isResuming) {
+            isResuming = false;
+            context.metrics().recordResume(server, nowMs - lastMs);
+            log.logResume(server, nowMs - lastMs);
         }
         lastMs = nowMs;
-        id.ifPresent(course::onEvent);
-        answer.event(bytes);
+        id.ifPresent(machine::onEvent);
+        answer.sendEvent(bytes);
     }
 
     /** The last event has come; what is left to do is to end the answer. */
-    void ended(HttpHead head, long nowMs) {
+    void handleEnd(HttpHead head, long nowMs) {
         if (answer.isStreaming()) {
-            context.pace().observe(plan.size(), firstMs - plan.receivedMs(), nowMs - firstMs);
+            context.durations().observe(plan.size(), firstMs - plan.receivedMs(), nowMs - firstMs);
         } else {
             // A caller that has all events gets none, and the end.
-            begin(head);
+            startEventStream(head);
         }
     }
 
     private boolean callerHas(OptionalLong id) {
         return id.isPresent()
-                && course.lastEventId().isPresent()
-                && id.getAsLong() <= course.lastEventId().getAsLong();
+                && machine.lastEventId().isPresent()
+                && id.getAsLong() <= machine.lastEventId().getAsLong();
     }
 
-    private void begin(HttpHead head) {
-        answer.startEvents(
-                new HttpHead(head.status(), context.dialect().headersToCaller(head.headers())));
+    private void startEventStream(HttpHead head) {
+        answer.startEventStream(
+                new HttpHead(head.status(), context.protocol().headersToCaller(head.headers())));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/EventSplitter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EventSplitter.java
@@ -16,10 +16,10 @@
     /** Longest event kept, so that a broken server can't fill the memory. */
     static final int MAX_EVENT_BYTES = 1 << 20;
 
-    private static final int FIRST_BYTES = 512;
+    private static final int INITIAL_BUFFER_BYTES = 512;
     private static final byte[] ID = "id:".getBytes(StandardCharsets.US_ASCII);
 
-    private byte[] event = new byte[FIRST_BYTES];
+    private byte[] event = new byte[INITIAL_BUFFER_BYTES];
     private int length;
     private int lineStart;
     private OptionalLong id = OptionalLong.empty();
@@ -33,11 +33,11 @@
          * @param bytes the event with the empty line at its end
          * @param id its id, if it has one that is a number
          */
-        void event(ByteBuffer bytes, OptionalLong id) throws IOException;
+        void onEvent(ByteBuffer bytes, OptionalLong id) throws IOException;
     }
 
     /** Takes all of {@code in} and gives the events that end in it to {@code sink}. */
-    void take(ByteBuffer in, Sink sink) throws IOException {
+    void feed(ByteBuffer in, Sink sink) throws IOException {
         while (in.hasRemaining()) {
             byte b = in.get();
             append(b);
@@ -78,13 +78,13 @@
         length = 0;
         lineStart = 0;
         id = OptionalLong.empty();
-        sink.event(whole, read);
+        sink.onEvent(whole, read);
     }
 
     private void readId(int end) {
         int start = lineStart + ID.length;
-        boolean named = end > start && Arrays.equals(event, lineStart, start, ID, 0, ID.length);
-        if (!named) {
+        boolean isIdLine = end > start && Arrays.equals(event, lineStart, start, ID, 0, ID.length);
+        if (!isIdLine) {
             return;
         }
         String text = new String(event, start, end - start, StandardCharsets.US_ASCII).trim();
--- a/masticweir/src/main/java/org/masticweir/relay/ExchangeEnd.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ExchangeCompletion.java
@@ -13,53 +13,56 @@
  * <p>Failure guarded against: an answer counts as given while a part of it still waits for a slow
  * caller, and the process ends over it.
  */
-final class ExchangeEnd {
-    private static final AttachmentKey<ExchangeEnd> KEY = AttachmentKey.create(ExchangeEnd.class);
+final class ExchangeCompletion {
+    private static final AttachmentKey<ExchangeCompletion> KEY =
+            AttachmentKey.create(ExchangeCompletion.class);
     private static final Runnable NO_OP = () -> {};
 
-    private Runnable ended = NO_OP;
+    private Runnable listener = NO_OP;
 
-    private ExchangeEnd() {}
+    private ExchangeCompletion() {}
 
     /**
      * Has {@code ended} run once when {@code exchange} is over, and keeps {@code kept} up to date.
      */
-    static void onEnd(HttpServerExchange exchange, KeepAliveConnections kept, Runnable ended) {
-        checkNotNull(ended, "ended");
+    static void addListener(
+            HttpServerExchange exchange, KeepAliveConnections connections, Runnable listener) {
+        checkNotNull(listener, "listener");
         ServerConnection connection = exchange.getConnection();
-        ExchangeEnd end = of(connection, kept);
-        end.ended = ended;
-        kept.busy(connection);
+        ExchangeCompletion completion = of(connection, connections);
+        completion.listener = listener;
+        connections.exchangeStarted(connection);
         exchange.addExchangeCompleteListener(
                 (ex, next) -> {
-                    end.over();
+                    completion.notifyListener();
                     if (connection.isOpen()) {
-                        kept.idle(connection);
+                        connections.exchangeCompleted(connection);
                     }
                     next.proceed();
-                    kept.settled();
+                    connections.exchangeReleased();
                 });
     }
 
     /** One for all exchanges of a connection, as close listeners can't be taken back. */
-    private static ExchangeEnd of(ServerConnection connection, KeepAliveConnections kept) {
-        ExchangeEnd known = connection.getAttachment(KEY);
+    private static ExchangeCompletion of(
+            ServerConnection connection, KeepAliveConnections connections) {
+        ExchangeCompletion known = connection.getAttachment(KEY);
         if (known != null) {
             return known;
         }
-        ExchangeEnd created = new ExchangeEnd();
+        ExchangeCompletion created = new ExchangeCompletion();
         connection.putAttachment(KEY, created);
         connection.addCloseListener(
                 c -> {
-                    created.over();
-                    kept.closed(c);
+                    created.notifyListener();
+                    connections.connectionClosed(c);
                 });
         return created;
     }
 
-    private void over() {
-        Runnable told = ended;
-        ended = NO_OP;
-        told.run();
+    private void notifyListener() {
+        Runnable current = listener;
+        listener = NO_OP;
+        current.run();
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/HedgedPeerRequest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/HedgedPeerRequest.java
@@ -29,12 +29,12 @@
     static final long TIMEOUT_MS = 5_000;
 
     /** Peers asked at a time: a third would slow down the replies of the two. */
-    private static final int MOST_ASKED = 2;
+    private static final int MAX_ASKED_PEERS = 2;
 
     private final PeerSender links;
     private final Executor control;
     private final Clock clock;
-    private final Set<RouterId> asked = new HashSet<>();
+    private final Set<RouterId> askedPeers = new HashSet<>();
     private long lastAskMs;
 
     HedgedPeerRequest(PeerSender links, Executor control, Clock clock) {
@@ -46,12 +46,12 @@
     /**
      * Asks {@code peer}, unless it has yet to reply or another was asked a moment ago.
      *
-     * @param answered takes the reply, or nothing if none will come
+     * @param callback takes the reply, or nothing if none will come
      */
-    void ask(RouterId peer, PeerMessage question, Consumer<Optional<PeerMessage>> answered) {
+    void ask(RouterId peer, PeerMessage question, Consumer<Optional<PeerMessage>> callback) {
         long now = clock.nowMs();
-        boolean waits = !asked.isEmpty() && now - lastAskMs < HEDGE_DELAY_MS;
-        if (waits || asked.size() == MOST_ASKED || !asked.add(peer)) {
+        boolean isHedgeDelayed = !askedPeers.isEmpty() && now - lastAskMs < HEDGE_DELAY_MS;
+        if (isHedgeDelayed || askedPeers.size() == MAX_ASKED_PEERS || !askedPeers.add(peer)) {
             return;
         }
         lastAskMs = now;
@@ -61,8 +61,8 @@
                                 ControlThread.execute(
                                         control,
                                         () -> {
-                                            asked.remove(peer);
-                                            answered.accept(Optional.ofNullable(reply));
+                                            askedPeers.remove(peer);
+                                            callback.accept(Optional.ofNullable(reply));
                                         },
                                         "peers"));
     }
--- a/masticweir/src/main/java/org/masticweir/relay/InFlightRequests.java
+++ b/masticweir/src/main/java/org/masticweir/relay/InFlightRequests.java
@@ -16,20 +16,20 @@
 final class InFlightRequests {
     private final SharedQuarantine quarantine;
     private final Set<Request> requests = new LinkedHashSet<>();
-    private boolean ended;
+    private boolean isEnded;
 
     /** A request under way. */
     interface Request {
         ContentId content();
 
         /** Returns whether its server has run it for longer than a trial lasts. */
-        boolean runsWell();
+        boolean runsLongerThanTrial();
 
         /** Its content was put into quarantine. */
-        void quarantined();
+        void onQuarantined();
 
         /** The router's process ends: the request is answered now, whatever it has come to. */
-        void routerEnds();
+        void onRouterExit();
     }
 
     InFlightRequests(SharedQuarantine quarantine) {
@@ -38,8 +38,8 @@
 
     void add(Request request) {
         requests.add(request);
-        if (ended) {
-            request.routerEnds();
+        if (isEnded) {
+            request.onRouterExit();
         }
     }
 
@@ -49,8 +49,8 @@
 
     /** Ends all of them, and each one that comes later, with an answer of its own. */
     void endAll() {
-        ended = true;
-        ImmutableList.copyOf(requests).forEach(Request::routerEnds);
+        isEnded = true;
+        ImmutableList.copyOf(requests).forEach(Request::onRouterExit);
     }
 
     /**
@@ -62,10 +62,10 @@
                 requests.stream()
                         .filter(r -> r.content().equals(content))
                         .collect(ImmutableList.toImmutableList());
-        if (copies.stream().anyMatch(Request::runsWell)) {
+        if (copies.stream().anyMatch(Request::runsLongerThanTrial)) {
             quarantine.recordSuccess(() -> content);
         } else if (change == Change.QUARANTINED) {
-            copies.forEach(Request::quarantined);
+            copies.forEach(Request::onQuarantined);
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/KeepAliveConnections.java
+++ b/masticweir/src/main/java/org/masticweir/relay/KeepAliveConnections.java
@@ -18,40 +18,40 @@
 final class KeepAliveConnections {
     private static final Logger LOG = LogManager.getLogger(KeepAliveConnections.class);
 
-    private final Set<ServerConnection> idle = new LinkedHashSet<>();
-    private boolean closing;
+    private final Set<ServerConnection> exchangeCompleted = new LinkedHashSet<>();
+    private boolean isClosing;
 
     /** An exchange of {@code connection} begins. */
-    void busy(ServerConnection connection) {
-        idle.remove(connection);
+    void exchangeStarted(ServerConnection connection) {
+        exchangeCompleted.remove(connection);
     }
 
     /** An exchange of {@code connection} is over, and its connection is open. */
-    void idle(ServerConnection connection) {
-        idle.add(connection);
+    void exchangeCompleted(ServerConnection connection) {
+        exchangeCompleted.add(connection);
     }
 
     /** The server library has ended an exchange: the connection may be closed now. */
-    void settled() {
-        if (closing) {
+    void exchangeReleased() {
+        if (isClosing) {
             closeIdle();
         }
     }
 
-    void closed(ServerConnection connection) {
-        idle.remove(connection);
+    void connectionClosed(ServerConnection connection) {
+        exchangeCompleted.remove(connection);
     }
 
     /** Closes what is idle, and from now on each connection after its exchange. */
     void closeAll() {
-        LOG.info("router: {} idle connections of callers are closed", idle.size());
-        closing = true;
+        LOG.info("router: {} idle connections of callers are closed", exchangeCompleted.size());
+        isClosing = true;
         closeIdle();
     }
 
     private void closeIdle() {
-        ImmutableList<ServerConnection> closed = ImmutableList.copyOf(idle);
-        idle.clear();
+        ImmutableList<ServerConnection> closed = ImmutableList.copyOf(exchangeCompleted);
+        exchangeCompleted.clear();
         closed.forEach(IoUtils::safeClose);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/LossInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LossInquiry.java
@@ -15,7 +15,7 @@
 import org.masticweir.id.ContentId;
 import org.masticweir.quarantine.Loss;
 import org.masticweir.quarantine.SharedQuarantine;
-import org.masticweir.relay.ServerProbe.Fate;
+import org.masticweir.relay.ServerProbe.Result;
 import org.masticweir.time.Clock;
 
 /**
@@ -28,15 +28,15 @@
     private static final Logger LOG = LogManager.getLogger(LossInquiry.class);
 
     /** How long the entry of a silent server is watched, in ms: three heartbeats and more. */
-    private static final long LAPSE_MS = 10_000;
+    private static final long WATCH_MS = 10_000;
 
     /** Servers at which losses wait for an entry to lapse. */
-    private static final int MOST_SILENT = 1_024;
+    private static final int MAX_SILENT_SERVERS = 1_024;
 
     private final SharedQuarantine quarantine;
-    private final ServerProbe check;
+    private final ServerProbe probe;
     private final Clock clock;
-    private final Map<ServerIncarnation, SilentServer> silent = new HashMap<>();
+    private final Map<ServerIncarnation, SilentServer> silentServers = new HashMap<>();
 
     /** A server that fell silent, and the losses of the contents that it had begun to run. */
     private static final class SilentServer {
@@ -44,9 +44,9 @@
         private long untilMs;
     }
 
-    LossInquiry(SharedQuarantine quarantine, ServerProbe check, Clock clock) {
+    LossInquiry(SharedQuarantine quarantine, ServerProbe probe, Clock clock) {
         this.quarantine = checkNotNull(quarantine, "quarantine");
-        this.check = checkNotNull(check, "check");
+        this.probe = checkNotNull(probe, "probe");
         this.clock = checkNotNull(clock, "clock");
     }
 
@@ -55,7 +55,7 @@
      *
      * @param broke whether it broke the connection, so that it was reached a moment ago
      */
-    void lost(
+    void handleLoss(
             ContentId content,
             BackendServer server,
             long sentMs,
@@ -66,43 +66,45 @@
             // The answer comes within milliseconds; a silent server would hold the request up.
             quarantine.beginInquiry(content);
         }
-        check.ask(server, catalog, fate -> found(content, loss, broke, fate));
+        probe.probe(server, catalog, result -> handleProbeResult(content, loss, broke, result));
     }
 
-    private void found(ContentId content, Loss loss, boolean broke, Fate fate) {
-        ServerIncarnation life = loss.incarnation();
-        boolean hasEnded = fate == Fate.ENDED || (broke && fate == Fate.UNREACHED);
+    private void handleProbeResult(ContentId content, Loss loss, boolean broke, Result result) {
+        ServerIncarnation incarnation = loss.incarnation();
+        boolean hasEnded = result == Result.ENDED || (broke && result == Result.UNREACHED);
         LOG.info(
                 "quarantine: {} was lost under content {}, {}, {}",
-                life,
+                incarnation,
                 content,
                 broke ? "connection broken" : "silent",
-                fate);
+                result);
         if (broke) {
             quarantine.endInquiry(content);
         }
         if (hasEnded) {
-            quarantine.recordLoss(content, loss, life + " ended under it");
-        } else if (fate == Fate.LIVES) {
-            quarantine.recordAlive(life);
+            quarantine.recordLoss(content, loss, incarnation + " ended under it");
+        } else if (result == Result.LIVES) {
+            quarantine.recordAlive(incarnation);
         } else {
-            awaitLapse(content, loss);
+            watchEntry(content, loss);
         }
     }
 
-    private void awaitLapse(ContentId content, Loss loss) {
-        ServerIncarnation life = loss.incarnation();
-        if (silent.size() < MOST_SILENT || silent.containsKey(life)) {
-            SilentServer server = silent.computeIfAbsent(life, l -> new SilentServer());
+    private void watchEntry(ContentId content, Loss loss) {
+        ServerIncarnation incarnation = loss.incarnation();
+        if (silentServers.size() < MAX_SILENT_SERVERS || silentServers.containsKey(incarnation)) {
+            SilentServer server =
+                    silentServers.computeIfAbsent(incarnation, i -> new SilentServer());
             server.losses.put(content, loss);
-            server.untilMs = clock.nowMs() + LAPSE_MS;
+            server.untilMs = clock.nowMs() + WATCH_MS;
         }
     }
 
     /** The list of servers has changed; those that fell silent and are not in it have ended. */
     void updateListed(Set<ServerIncarnation> present) {
         long now = clock.nowMs();
-        Iterator<Map.Entry<ServerIncarnation, SilentServer>> each = silent.entrySet().iterator();
+        Iterator<Map.Entry<ServerIncarnation, SilentServer>> each =
+                silentServers.entrySet().iterator();
         while (each.hasNext()) {
             Map.Entry<ServerIncarnation, SilentServer> entry = each.next();
             SilentServer server = entry.getValue();
--- a/masticweir/src/main/java/org/masticweir/relay/PromptCacheClient.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptCacheClient.java
@@ -28,52 +28,53 @@
      * Time for an answer, in ms, for a router whose code is still cold: a third of what reading a
      * long prompt takes. A caller that came back has had a longer pause already.
      */
-    static final long ANSWER_MS = 300;
+    static final long TIMEOUT_MS = 300;
 
     /** How long an answer serves others that ask, in ms; prompts are kept for seconds. */
-    private static final long FRESH_MS = 300;
+    private static final long REUSE_MS = 300;
 
     private final HttpCaller calls;
-    private final PlatformProtocol dialect;
-    private final AnswerMetadataRecorder notices;
+    private final PlatformProtocol protocol;
+    private final AnswerMetadataRecorder answerMetadata;
     private final Clock clock;
-    private final Map<ServerIncarnation, Asked> asked = new HashMap<>();
+    private final Map<ServerIncarnation, Query> queries = new HashMap<>();
 
     /** One question to an engine. */
-    private record Asked(long atMs, CompletableFuture<ImmutableSet<PromptId>> answer) {}
+    private record Query(long atMs, CompletableFuture<ImmutableSet<PromptId>> answer) {}
 
     PromptCacheClient(
             HttpCaller calls,
-            PlatformProtocol dialect,
-            AnswerMetadataRecorder notices,
+            PlatformProtocol protocol,
+            AnswerMetadataRecorder answerMetadata,
             Clock clock) {
         this.calls = checkNotNull(calls, "calls");
-        this.dialect = checkNotNull(dialect, "dialect");
-        this.notices = checkNotNull(notices, "notices");
+        this.protocol = checkNotNull(protocol, "protocol");
+        this.answerMetadata = checkNotNull(answerMetadata, "answerMetadata");
         this.clock = checkNotNull(clock, "clock");
     }
 
     /** Returns what {@code engine} keeps; nothing if it does not answer in time. */
-    CompletableFuture<ImmutableSet<PromptId>> of(BackendServer engine) {
+    CompletableFuture<ImmutableSet<PromptId>> cachedPrompts(BackendServer engine) {
         long now = clock.nowMs();
-        asked.values().removeIf(a -> now - a.atMs() > FRESH_MS);
-        return asked.computeIfAbsent(engine.incarnation(), life -> new Asked(now, ask(engine)))
+        queries.values().removeIf(a -> now - a.atMs() > REUSE_MS);
+        return queries.computeIfAbsent(
+                        engine.incarnation(), incarnation -> new Query(now, query(engine)))
                 .answer();
     }
 
-    private CompletableFuture<ImmutableSet<PromptId>> ask(BackendServer engine) {
-        return calls.call(dialect.promptsCall(engine), ANSWER_MS)
+    private CompletableFuture<ImmutableSet<PromptId>> query(BackendServer engine) {
+        return calls.call(protocol.promptsCall(engine), TIMEOUT_MS)
                 .thenApply(
                         outcome -> {
-                            notices.called(engine.incarnation(), outcome);
-                            return read(outcome);
+                            answerMetadata.recordCall(engine.incarnation(), outcome);
+                            return parse(outcome);
                         });
     }
 
-    private ImmutableSet<PromptId> read(HttpOutcome outcome) {
+    private ImmutableSet<PromptId> parse(HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answered && answered.answer().isSuccess()) {
             try {
-                return dialect.parsePrompts(answered.answer().text());
+                return protocol.parsePrompts(answered.answer().text());
             } catch (IllegalArgumentException e) {
                 LOG.warn("relay: a list of prompts is not understood, {}", e.getMessage());
             }
--- a/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
@@ -14,39 +14,43 @@
  */
 final class PromptSearch {
     private final PromptId prompt;
-    private final Consumer<Optional<BackendServer>> then;
-    private int awaited;
-    private boolean over;
+    private final Consumer<Optional<BackendServer>> callback;
+    private int pendingAnswers;
+    private boolean isEnded;
 
-    private PromptSearch(PromptId prompt, int asked, Consumer<Optional<BackendServer>> then) {
+    private PromptSearch(
+            PromptId prompt, int askedCount, Consumer<Optional<BackendServer>> callback) {
         this.prompt = checkNotNull(prompt, "prompt");
-        this.then = checkNotNull(then, "then");
-        awaited = asked;
+        this.callback = checkNotNull(callback, "callback");
+        pendingAnswers = askedCount;
     }
 
     /** Tells {@code then}, once, which of {@code engines} keeps {@code prompt}; nothing if none. */
-    static void among(
+    static void start(
             ImmutableList<BackendServer> engines,
-            PromptCacheClient kept,
+            PromptCacheClient client,
             PromptId prompt,
-            Consumer<Optional<BackendServer>> then) {
-        PromptSearch search = new PromptSearch(prompt, engines.size(), then);
-        engines.forEach(e -> kept.of(e).thenAccept(prompts -> search.answered(e, prompts)));
+            Consumer<Optional<BackendServer>> callback) {
+        PromptSearch search = new PromptSearch(prompt, engines.size(), callback);
+        engines.forEach(
+                e ->
+                        client.cachedPrompts(e)
+                                .thenAccept(prompts -> search.handleAnswer(e, prompts)));
     }
 
-    private void answered(BackendServer engine, ImmutableSet<PromptId> prompts) {
-        awaited--;
+    private void handleAnswer(BackendServer engine, ImmutableSet<PromptId> prompts) {
+        pendingAnswers--;
         if (prompts.contains(prompt)) {
             end(Optional.of(engine));
-        } else if (awaited == 0) {
+        } else if (pendingAnswers == 0) {
             end(Optional.empty());
         }
     }
 
-    private void end(Optional<BackendServer> keeper) {
-        if (!over) {
-            over = true;
-            then.accept(keeper);
+    private void end(Optional<BackendServer> engine) {
+        if (!isEnded) {
+            isEnded = true;
+            callback.accept(engine);
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayContext.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayContext.java
@@ -19,33 +19,33 @@
 /**
  * What all requests of a router share; all of it belongs to the traffic thread.
  *
- * @param sharedRepeats asks for what {@code repeats} does not allow by itself
+ * @param sharedRetries asks for what {@code repeats} does not allow by itself
  * @param limits what servers limit, and permits for it
- * @param notices takes what servers say in their answers
+ * @param answerMetadata takes what servers say in their answers
  * @param connectTimeoutMs time for a connection to a server
  * @param loadsChanged runs after this router's use of servers has changed
  */
 record RelayContext(
         Clock clock,
         XnioIoThread thread,
-        PlatformProtocol dialect,
+        PlatformProtocol protocol,
         ByteBufferPool buffers,
         HttpCaller calls,
-        PromptCacheClient prompts,
+        PromptCacheClient promptCaches,
         Supplier<RelayView> view,
         LoadTracker loads,
         ServerHealth health,
-        ServerSelector placement,
-        RetryLimiter repeats,
-        SharedRetryPermits sharedRepeats,
+        ServerSelector selector,
+        RetryLimiter retries,
+        SharedRetryPermits sharedRetries,
         SharedLimits limits,
-        AnswerMetadataRecorder notices,
+        AnswerMetadataRecorder answerMetadata,
         SharedQuarantine quarantine,
-        LossInquiry losses,
-        InFlightRequests underWay,
-        WaitQueue line,
-        SilenceTimeouts silence,
-        StreamDurationEstimator pace,
+        LossInquiry lossInquiry,
+        InFlightRequests inFlight,
+        WaitQueue waitQueue,
+        SilenceTimeouts silenceTimeouts,
+        StreamDurationEstimator durations,
         RandomGenerator random,
         RelayMetrics metrics,
         long connectTimeoutMs,
--- a/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
@@ -27,16 +27,17 @@
     private static final Logger LOG = LogManager.getLogger(RelayHandler.class);
 
     /** When a caller may come back that was refused for want of a catalog, in ms. */
-    private static final long UNSURE_RETURN_MS = 300;
+    private static final long NO_CONFIGURATION_RETRY_MS = 300;
 
     private final RelayContext context;
-    private final DrainingAdmission intake;
-    private final KeepAliveConnections kept;
+    private final DrainingAdmission admission;
+    private final KeepAliveConnections connections;
 
-    RelayHandler(RelayContext context, DrainingAdmission intake, KeepAliveConnections kept) {
+    RelayHandler(
+            RelayContext context, DrainingAdmission admission, KeepAliveConnections connections) {
         this.context = checkNotNull(context, "context");
-        this.intake = checkNotNull(intake, "intake");
-        this.kept = checkNotNull(kept, "kept");
+        this.admission = checkNotNull(admission, "admission");
+        this.connections = checkNotNull(connections, "connections");
     }
 
     /** A request that is refused before it is read. */
@@ -63,9 +64,9 @@
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        intake.requestStarted();
-        ExchangeEnd.onEnd(exchange, kept, intake::requestEnded);
-        exchange.addResponseCommitListener(this::endConnectionIfLeaving);
+        admission.requestStarted();
+        ExchangeCompletion.addListener(exchange, connections, admission::requestEnded);
+        exchange.addResponseCommitListener(this::closeConnectionIfDraining);
         try {
             Admitted admitted = admit(exchange, context.view().get());
             readBody(exchange, admitted);
@@ -78,8 +79,8 @@
     }
 
     /** With the answer, not with the request: the order to leave may come between them. */
-    private void endConnectionIfLeaving(HttpServerExchange exchange) {
-        if (intake.isDraining()) {
+    private void closeConnectionIfDraining(HttpServerExchange exchange) {
+        if (admission.isDraining()) {
             exchange.setPersistent(false);
         }
     }
@@ -95,9 +96,9 @@
         String host = headers.first(Headers.HOST_STRING).orElse("");
         Route route =
                 catalog.route(host, exchange.getRequestURI())
-                        .orElseThrow(() -> unknown(view, ErrorCode.NOT_FOUND, "no such route"));
-        RequestMetadata caller = callerHead(headers);
-        checkIntake(route, caller, now, false);
+                        .orElseThrow(() -> notFound(view, ErrorCode.NOT_FOUND, "no such route"));
+        RequestMetadata caller = parseMetadata(headers);
+        checkAdmission(route, caller, now, false);
         Optional<Team> team = team(view, catalog, route, caller);
         ServiceName service = route.service(caller.requestId().hashCode());
         Optional<EngineSpec> engine = catalog.service(service).flatMap(ServiceSpec::engine);
@@ -114,35 +115,36 @@
      * <p>Failure guarded against: a head that comes early says nothing of when its body ends, and a
      * request that is whole only then is cut off at its server.
      *
-     * @param whole whether the body has been read, too; it is asked before and after
+     * @param isComplete whether the body has been read, too; it is asked before and after
      */
-    private void checkIntake(Route route, RequestMetadata caller, long receivedMs, boolean whole)
+    private void checkAdmission(
+            Route route, RequestMetadata caller, long receivedMs, boolean isComplete)
             throws Refusal {
         long now = context.clock().nowMs();
-        OptionalLong needsMs =
+        OptionalLong expectedMs =
                 route.streams()
-                        ? context.pace().expectedMs(caller.size())
-                        : OptionalLong.of(receivedMs + waitMs(route, caller) - now);
-        boolean taken =
+                        ? context.durations().expectedMs(caller.size())
+                        : OptionalLong.of(receivedMs + timeoutMs(route, caller) - now);
+        boolean isAdmitted =
                 route.streams()
-                        ? intake.admitsStream(needsMs, now)
-                        : intake.admits(needsMs.getAsLong(), now);
-        if (intake.isDraining() && (whole || !taken)) {
+                        ? admission.admitsStream(expectedMs, now)
+                        : admission.admits(expectedMs.getAsLong(), now);
+        if (admission.isDraining() && (isComplete || !isAdmitted)) {
             LOG.info(
                     "relay: request {} {} {} ms after the order to leave, it needs {} ms of {} ms",
                     caller.requestId(),
-                    taken ? "taken" : "not taken",
-                    intake.leavingForMs(now),
-                    needsMs.isPresent() ? needsMs.getAsLong() : "unknown",
-                    intake.remainingMs(now));
+                    isAdmitted ? "taken" : "not taken",
+                    admission.drainingForMs(now),
+                    expectedMs.isPresent() ? expectedMs.getAsLong() : "unknown",
+                    admission.remainingMs(now));
         }
-        if (!taken) {
+        if (!isAdmitted) {
             throw new Refusal(ErrorCode.SHUTTING_DOWN, "this router is leaving");
         }
     }
 
     /** Returns the time after which the request ends in any case. */
-    private static long waitMs(Route route, RequestMetadata caller) {
+    private static long timeoutMs(Route route, RequestMetadata caller) {
         return Math.min(caller.timeoutMs().orElse(Long.MAX_VALUE), route.timeoutMs());
     }
 
@@ -166,9 +168,9 @@
                 : 0;
     }
 
-    private RequestMetadata callerHead(HttpHeaders headers) throws Refusal {
+    private RequestMetadata parseMetadata(HttpHeaders headers) throws Refusal {
         try {
-            return context.dialect().parseRequestMetadata(headers);
+            return context.protocol().parseRequestMetadata(headers);
         } catch (IllegalArgumentException e) {
             throw new Refusal(ErrorCode.BAD_REQUEST, "malformed header field");
         }
@@ -181,7 +183,7 @@
         }
         Optional<Team> team = caller.teamKey().flatMap(catalog::teamOf);
         if (team.isEmpty()) {
-            throw unknown(view, ErrorCode.UNAUTHORIZED, "no such key");
+            throw notFound(view, ErrorCode.UNAUTHORIZED, "no such key");
         }
         return team;
     }
@@ -192,7 +194,7 @@
      * <p>Failure guarded against: a router that has heard nothing for a while denies what a newer
      * catalog has. A caller doesn't come back after such an answer, but does after this one.
      */
-    private static Refusal unknown(RelayView view, ErrorCode code, String reason) {
+    private static Refusal notFound(RelayView view, ErrorCode code, String reason) {
         return view.isCatalogFresh()
                 ? new Refusal(code, reason)
                 : new Refusal(ErrorCode.NO_CONFIGURATION, "the configuration may be old");
@@ -222,7 +224,7 @@
 
     private void startOrRefuse(HttpServerExchange exchange, Admitted admitted, byte[] body) {
         try {
-            checkIntake(admitted.route(), admitted.caller(), admitted.receivedMs(), true);
+            checkAdmission(admitted.route(), admitted.caller(), admitted.receivedMs(), true);
             start(exchange, admitted, body);
         } catch (Refusal refusal) {
             refuse(exchange, refusal);
@@ -230,7 +232,7 @@
     }
 
     private void start(HttpServerExchange exchange, Admitted admitted, byte[] body) {
-        long waitMs = waitMs(admitted.route(), admitted.caller());
+        long timeoutMs = timeoutMs(admitted.route(), admitted.caller());
         RequestParameters plan =
                 new RequestParameters(
                         admitted.route(),
@@ -240,7 +242,7 @@
                         admitted.caller().prompt(),
                         admitted.caller().lastEventId(),
                         admitted.receivedMs(),
-                        admitted.receivedMs() + waitMs);
+                        admitted.receivedMs() + timeoutMs);
         RelayRequest request =
                 RelayRequest.of(
                         exchange,
@@ -249,7 +251,7 @@
                         admitted.team(),
                         admitted.headers(),
                         body);
-        new RelayRun(context, request, exchange).start();
+        new RequestLifecycle(context, request, exchange).start();
     }
 
     private void refuse(HttpServerExchange exchange, Refusal refusal) {
@@ -259,15 +261,16 @@
                 exchange.getRequestURI(),
                 refusal.code,
                 refusal.getMessage());
-        context.metrics().refusedUnread(refusal.code);
-        new CallerAnswer(exchange, () -> {})
-                .error(refusal.code, returnMs(refusal.code), refusal.getMessage());
+        context.metrics().countRefusedUnread(refusal.code);
+        new CallerAnswerWriter(exchange, () -> {})
+                .sendError(refusal.code, retryAfterMs(refusal.code), refusal.getMessage());
     }
 
-    private OptionalLong returnMs(ErrorCode code) {
+    private OptionalLong retryAfterMs(ErrorCode code) {
         return switch (code) {
-            case NO_CONFIGURATION -> OptionalLong.of(UNSURE_RETURN_MS);
-            case SHUTTING_DOWN -> OptionalLong.of(intake.balancerMs(context.clock().nowMs()));
+            case NO_CONFIGURATION -> OptionalLong.of(NO_CONFIGURATION_RETRY_MS);
+            case SHUTTING_DOWN ->
+                    OptionalLong.of(admission.balancerDetectionLeftMs(context.clock().nowMs()));
             default -> OptionalLong.empty();
         };
     }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayMetrics.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayMetrics.java
@@ -24,15 +24,15 @@
     private static final long WINDOW_MS = 60_000;
 
     /** Classes, teams and servers shown each; some hundred bytes a series. */
-    private static final int MOST_SHOWN = 64;
+    private static final int MAX_LABELS = 64;
 
     private static final String NO_TEAM = "none";
 
     private final MetricRegistry registry;
     private final Clock clock;
-    private final BoundedLabels classes = BoundedLabels.of(MOST_SHOWN);
-    private final BoundedLabels teams = BoundedLabels.of(MOST_SHOWN);
-    private final BoundedLabels servers = BoundedLabels.of(MOST_SHOWN);
+    private final BoundedLabels classes = BoundedLabels.of(MAX_LABELS);
+    private final BoundedLabels teams = BoundedLabels.of(MAX_LABELS);
+    private final BoundedLabels servers = BoundedLabels.of(MAX_LABELS);
 
     private RelayMetrics(MetricRegistry registry, Clock clock) {
         this.registry = checkNotNull(registry, "registry");
@@ -55,61 +55,61 @@
     }
 
     /** Returns the counts of one request. */
-    ForRequest request(String route, Optional<TeamId> team) {
-        return new ForRequest(
+    RequestMetrics request(String route, Optional<TeamId> team) {
+        return new RequestMetrics(
                 classes.shownAs(route), teams.shownAs(team.map(TeamId::value).orElse(NO_TEAM)));
     }
 
     /** A request was refused before its route was known or taken. */
-    void refusedUnread(ErrorCode code) {
+    void countRefusedUnread(ErrorCode code) {
         count("requests_refused_unread_total", "outcome", lower(code));
     }
 
     /** A request went to {@code server}, for the {@code sends}-th time. */
-    void sent(BackendServer server, int sends) {
+    void countSend(BackendServer server, int sends) {
         String again = sends > 1 ? "yes" : "no";
         count("sends_total", "domain", server.domain().value(), "again", again);
     }
 
     /** A send to {@code server} ended. */
-    void sendEnded(BackendServer server, SendEnd end) {
+    void countSendEnd(BackendServer server, SendEnd end) {
         String shown = servers.shownAs(server.id().value());
         count("sends_ended_total", "server", shown, "cause", lower(end));
     }
 
     /** A stream went on at {@code server} after a loss, {@code ms} after its last event. */
-    void resumed(BackendServer server, long ms) {
+    void recordResume(BackendServer server, long ms) {
         histogram("resume_ms", "domain", server.domain().value()).update(ms);
     }
 
     /** What is counted of one request under its class and team. */
-    final class ForRequest {
+    final class RequestMetrics {
         private final String route;
         private final String team;
 
-        private ForRequest(String route, String team) {
+        private RequestMetrics(String route, String team) {
             this.route = route;
             this.team = team;
         }
 
-        void firstEvent(long ms) {
+        void recordFirstEvent(long ms) {
             histogram("first_event_ms", "class", route).update(ms);
         }
 
-        void answered(long ms) {
+        void recordAnswer(long ms) {
             histogram("answer_ms", "class", route).update(ms);
-            ended("answered");
+            countEnd("answered");
         }
 
-        void failed(ErrorCode code) {
-            ended(lower(code));
+        void countFailure(ErrorCode code) {
+            countEnd(lower(code));
         }
 
-        void callerLeft() {
-            ended("caller_left");
+        void countCallerLeft() {
+            countEnd("caller_left");
         }
 
-        private void ended(String outcome) {
+        private void countEnd(String outcome) {
             count("requests_ended_total", "class", route, "outcome", outcome);
             count("team_requests_ended_total", "team", team, "outcome", outcome);
         }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
@@ -53,14 +53,14 @@
     }
 
     /** Returns the call that carries out {@code send}. */
-    HttpCall callFor(Step.Send send, PlatformProtocol dialect, long nowMs) {
+    HttpCall toCall(Step.Send send, PlatformProtocol protocol, long nowMs) {
         long leftMs = Math.max(1, plan.expiresMs() - nowMs);
         SendMetadata head = new SendMetadata(caller.requestId(), send, team, leftMs);
         return new HttpCall(
                 method,
                 send.server().address(),
                 path,
-                dialect.headersToServer(headers, head),
+                protocol.headersToServer(headers, head),
                 body);
     }
 }
--- /dev/null
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLifecycle.java
@@ -0,0 +1,506 @@
+package org.masticweir.relay;
+
+import static com.google.common.base.Preconditions.checkNotNull;
+
+import io.undertow.server.HttpServerExchange;
+import java.nio.ByteBuffer;
+import java.util.Optional;
+import java.util.OptionalLong;
+import org.masticweir.catalog.BackendServer;
+import org.masticweir.catalog.ServerIncarnation;
+import org.masticweir.forward.LoadEntry;
+import org.masticweir.forward.RequestParameters;
+import org.masticweir.forward.RequestStateMachine;
+import org.masticweir.forward.SilenceTimer;
+import org.masticweir.forward.Step;
+import org.masticweir.http.HttpCall;
+import org.masticweir.http.HttpHead;
+import org.masticweir.id.ContentId;
+import org.masticweir.relay.RelayMetrics.SendEnd;
+
+/**
+ * One request from its last byte to the last byte of its answer; runs on the traffic thread.
+ *
+ * <p>It carries out what its {@link RequestStateMachine} decides, and owns the request's timers,
+ * its connection to a server and its entry on the load board.
+ */
+final class RequestLifecycle implements InFlightRequests.Request {
+    private final RelayContext context;
+    private final RequestParameters plan;
+    private final RelayRequest request;
+    private final RequestStateMachine machine;
+    private final RequestLog log;
+    private final RelayMetrics.RequestMetrics metrics;
+    private final CallerAnswerWriter answer;
+    private final CallerDisconnectDetector detector;
+    private final EventRelay events;
+    private final ContentTrial trial;
+    private final RequestTimer timer;
+    private final RequestPermits permits;
+
+    private Optional<ServerSend> send = Optional.empty();
+    private Optional<LoadEntry> loadEntry = Optional.empty();
+    private SilenceTimer silence;
+    private int sendNumber;
+
+    /** Whether the send under way has left this process. */
+    private boolean isWritten;
+
+    private boolean isEnded;
+
+    /** Delivers a server's failure unless the request goes to another one at once. */
+    private Optional<Runnable> errorAnswer = Optional.empty();
+
+    /** Creates the run of a request that was read whole. */
+    RequestLifecycle(RelayContext context, RelayRequest request, HttpServerExchange exchange) {
+        this.context = checkNotNull(context, "context");
+        this.request = checkNotNull(request, "request");
+        plan = request.plan();
+        trial = new ContentTrial(context, request);
+        timer = new RequestTimer(context.thread());
+        log = new RequestLog(context, request);
+        permits = new RequestPermits(context, log);
+        metrics = context.metrics().request(plan.route().name(), request.team());
+        machine =
+                RequestStateMachine.of(
+                        plan,
+                        () -> context.view().get().serversOf(plan.service()),
+                        context.selector(),
+                        context.health(),
+                        context.retries(),
+                        trial.policy(),
+                        context.waitQueue(),
+                        context.random());
+        answer = new CallerAnswerWriter(exchange, this::handleCallerDisconnect);
+        detector = CallerDisconnectDetector.start(exchange, this::handleCallerDisconnect);
+        events = new EventRelay(context, plan, machine, answer, metrics, log);
+    }
+
+    void start() {
+        context.inFlight().add(this);
+        if (!isEnded) {
+            execute(machine.next(now()));
+        }
+    }
+
+    private void execute(Step step) {
+        if (isEnded) {
+            return;
+        }
+        if (errorAnswer.isPresent() && !step.mayLeadToSend()) {
+            errorAnswer.get().run();
+        } else if (step instanceof Step.Send next) {
+            errorAnswer = Optional.empty();
+            send(next);
+        } else if (step instanceof Step.QueryPromptCaches query) {
+            searchPrompt(query);
+        } else if (step instanceof Step.AcquirePermit permit) {
+            permits.requestServerPermit(
+                    permit.server(), permit.urgency(), granted -> onPermit(permit, granted));
+        } else if (step instanceof Step.AcquireRetryPermit retry) {
+            permits.requestRetryPermit(plan.service(), retry.urgency(), this::onRetryPermit);
+        } else if (step instanceof Step.Wait wait) {
+            timer.set(wait.delayMs(), () -> execute(machine.next(now())));
+        } else {
+            end((Step.End) step);
+        }
+    }
+
+    private void onPermit(Step.AcquirePermit permit, boolean granted) {
+        if (!isEnded) {
+            execute(machine.onPermitDecision(permit.server(), granted, now()));
+        }
+    }
+
+    private void onRetryPermit(boolean granted) {
+        if (!isEnded) {
+            execute(machine.onRetryDecision(granted, now()));
+        }
+    }
+
+    private void searchPrompt(Step.QueryPromptCaches query) {
+        PromptSearch.start(
+                query.engines(),
+                context.promptCaches(),
+                plan.prompt().orElseThrow(),
+                engine -> {
+                    if (!isEnded) {
+                        log.logPromptSearch(query.engines().size(), engine);
+                        execute(machine.onPromptCacheResult(engine, now()));
+                    }
+                });
+    }
+
+    private void send(Step.Send next) {
+        detector.checkClosed();
+        if (isEnded) {
+            return;
+        }
+        sendNumber++;
+        isWritten = false;
+        trial.beginSend();
+        int number = sendNumber;
+        log.logSend(next, number);
+        context.metrics().countSend(next.server(), sendNumber);
+        loadEntry = Optional.of(LoadEntry.open(context.loads(), next, plan.size()));
+        context.loadsChanged().run();
+        silence = SilenceTimer.of(next, plan, context.loads(), context.silenceTimeouts(), now());
+        ServerSend opened =
+                ServerSend.open(
+                        context.thread(),
+                        context.buffers(),
+                        next.server().address(),
+                        () -> callTo(next, number),
+                        context.connectTimeoutMs(),
+                        request.id(),
+                        plan.route().streams(),
+                        context.protocol(),
+                        new Listener(next, number));
+        // The connection may have failed, or the request ended, before this call returned.
+        if (!isEnded && number == sendNumber && silence != null) {
+            send = Optional.of(opened);
+            scheduleTimer();
+        } else {
+            opened.close();
+        }
+    }
+
+    /**
+     * Returns what goes to a server that has taken the connection, with the time that is left by
+     * now. If what led to the send no longer holds, takes the next step and returns nothing.
+     */
+    private Optional<HttpCall> callTo(Step.Send next, int number) {
+        detector.checkClosed();
+        if (isEnded || number != sendNumber) {
+            return Optional.empty();
+        }
+        long now = now();
+        if (now >= plan.expiresMs() || !machine.mayStillSend(next.server(), now)) {
+            logNotRun(next.server(), SendEnd.NOT_REACHED, "was reached too late", silence.sentMs());
+            abortUnwrittenSend();
+            closeSend();
+            execute(machine.next(now));
+            return Optional.empty();
+        }
+        isWritten = true;
+        return Optional.of(request.toCall(next, context.protocol(), now));
+    }
+
+    /** A send that has not left this process has not run, whatever ends it. */
+    private void abortUnwrittenSend() {
+        if (silence != null && !isWritten) {
+            isWritten = true;
+            machine.onSendAborted(now());
+        }
+    }
+
+    /** Waits for the request's end, and on streams for the engine's next sign of life. */
+    private void scheduleTimer() {
+        long dueMs = plan.expiresMs();
+        if (plan.route().streams()) {
+            dueMs = Math.min(dueMs, silence.nextCheckMs(now()));
+        } else if (machine.hedgeDelayMs().isPresent()) {
+            dueMs = Math.min(dueMs, silence.sentMs() + machine.hedgeDelayMs().getAsLong());
+        }
+        timer.set(Math.max(1, dueMs - now()), this::handleTimer);
+    }
+
+    private void handleTimer() {
+        long now = now();
+        if (now >= plan.expiresMs()) {
+            abortUnwrittenSend();
+            end(machine.endAtDeadline());
+            return;
+        }
+        if (plan.route().streams() && silence.needsAction(context.health(), now)) {
+            inquireSilence(now);
+            return;
+        }
+        if (!plan.route().streams()) {
+            handleSlowAnswer(now);
+            return;
+        }
+        scheduleTimer();
+    }
+
+    private void inquireSilence(long now) {
+        SilenceTimer inquired = silence;
+        new SilenceInquiry(context, log, request.id(), inquired)
+                .start(
+                        now,
+                        () -> !isEnded && silence == inquired,
+                        loss -> loss.ifPresentOrElse(this::handleServerLoss, this::scheduleTimer));
+    }
+
+    private void handleServerLoss(String reason) {
+        BackendServer server = silence.server();
+        logLost(server, SendEnd.SILENT, reason, silence.sentMs());
+        trial.recordLoss(server, silence.sentMs(), false, now());
+        events.handleServerLoss();
+        closeSend();
+        execute(machine.onSendLost(server, now()));
+        context.loadsChanged().run();
+    }
+
+    private void handleSlowAnswer(long now) {
+        timer.set(Math.max(1, plan.expiresMs() - now), this::handleTimer);
+        machine.onSlowAnswer(now).ifPresent(this::retryElsewhere);
+    }
+
+    /** Leaves the send under way once there is leave to send the request next. */
+    private void retryElsewhere(Step step) {
+        SilenceTimer abandoned = silence;
+        if (step instanceof Step.Send) {
+            logLost(abandoned.server(), SendEnd.SILENT, "sent no answer", abandoned.sentMs());
+            closeSend();
+            execute(step);
+        } else if (step instanceof Step.AcquireRetryPermit retry) {
+            permits.requestRetryPermit(
+                    plan.service(),
+                    retry.urgency(),
+                    granted -> {
+                        if (!isEnded && silence == abandoned) {
+                            retryElsewhere(machine.onRetryDecision(granted, now()));
+                        }
+                    });
+        }
+    }
+
+    /** A send ended that may have run, without a whole answer. */
+    private void logLost(BackendServer server, SendEnd end, String what, long sentMs) {
+        log.logLoss(server, what, sentMs, trial.eventCount(), trial.content());
+        context.metrics().countSendEnd(server, end);
+    }
+
+    @Override
+    public ContentId content() {
+        return trial.content();
+    }
+
+    @Override
+    public boolean runsLongerThanTrial() {
+        return !isEnded && silence != null && !trial.hasJustBegun(now());
+    }
+
+    @Override
+    public void onQuarantined() {
+        if (!isEnded && silence != null && trial.hasJustBegun(now())) {
+            logLost(silence.server(), SendEnd.STOPPED, "was left", silence.sentMs());
+            abortUnwrittenSend();
+            end(machine.endInQuarantine(now()));
+        }
+    }
+
+    @Override
+    public void onRouterExit() {
+        if (!isEnded) {
+            abortUnwrittenSend();
+            end(machine.endAtShutdown());
+        }
+    }
+
+    /** A send ended that has not run. */
+    private void logNotRun(BackendServer server, SendEnd end, String what, long sentMs) {
+        log.logServerEvent(server, what, sentMs);
+        context.metrics().countSendEnd(server, end);
+    }
+
+    private void closeSend() {
+        trial.endSend();
+        send.ifPresent(ServerSend::close);
+        send = Optional.empty();
+        silence = null;
+        timer.close();
+        if (loadEntry.isPresent()) {
+            loadEntry.get().close();
+            loadEntry = Optional.empty();
+            context.loadsChanged().run();
+        }
+    }
+
+    private void end(Step.End end) {
+        if (isEnded) {
+            return;
+        }
+        log.logEnd(end, machine.sendCount());
+        metrics.countFailure(end.code());
+        release();
+        answer.sendError(end.code(), end.retryAfterMs(), end.reason());
+    }
+
+    private void handleCallerDisconnect() {
+        if (isEnded) {
+            return;
+        }
+        log.logCallerLeft(stage());
+        metrics.countCallerLeft();
+        abortUnwrittenSend();
+        release();
+        answer.abort();
+    }
+
+    /** Returns how far the request has come, in words. */
+    private String stage() {
+        if (send.isEmpty()) {
+            return "at no server after " + machine.sendCount() + " sends";
+        }
+        String events = trial.eventCount() == 0 ? "without an event" : "after an event";
+        return "at " + silence.server().id() + " in send " + sendNumber + ", " + events;
+    }
+
+    /** Gives back all that the request holds; the answer's last bytes may still be written. */
+    private void release() {
+        isEnded = true;
+        machine.close();
+        context.inFlight().remove(this);
+        closeSend();
+        detector.stop();
+    }
+
+    private long now() {
+        return context.clock().nowMs();
+    }
+
+    /** Hears one send; words of an earlier one change nothing. */
+    private final class Listener implements SendListener {
+        private final Step.Send sent;
+        private final int number;
+        private final long sentMs = now();
+
+        Listener(Step.Send sent, int number) {
+            this.sent = sent;
+            this.number = number;
+        }
+
+        private boolean isStale() {
+            return isEnded || number != sendNumber;
+        }
+
+        @Override
+        public void onHead(AnswerMetadata metadata) {
+            if (!isStale()) {
+                context.answerMetadata()
+                        .recordAnswer(sent.server().incarnation(), metadata, request.id(), sentMs);
+            }
+        }
+
+        @Override
+        public void onEvent(HttpHead head, ByteBuffer bytes, OptionalLong id) {
+            if (isStale()) {
+                return;
+            }
+            long now = now();
+            context.health().recordAnswer(sent.server().incarnation(), now);
+            trial.recordEvent(now);
+            if (silence.recordEvent(now)) {
+                loadEntry.ifPresent(LoadEntry::endPrefill);
+                context.loadsChanged().run();
+            }
+            events.forward(sent.server(), head, bytes, id, now);
+        }
+
+        @Override
+        public void onStreamEnd(HttpHead head) {
+            if (isStale()) {
+                return;
+            }
+            metrics.recordAnswer(now() - plan.receivedMs());
+            context.metrics().countSendEnd(sent.server(), SendEnd.ANSWERED);
+            trial.recordAnswer();
+            log.logAnswer(
+                    "last event " + RequestLog.text(machine.lastEventId()), machine.sendCount());
+            events.handleEnd(head, now());
+            release();
+            answer.endEventStream();
+        }
+
+        @Override
+        public void onAnswer(HttpHead head, AnswerMetadata metadata, byte[] bytes) {
+            if (isStale()) {
+                return;
+            }
+            context.health().recordAnswer(sent.server().incarnation(), now());
+            recordLoad(metadata);
+            trial.recordAnswer();
+            context.metrics().countSendEnd(sent.server(), SendEnd.ANSWERED);
+            closeSend();
+            Optional<Step> next =
+                    head.status() >= 500 ? machine.onErrorAnswer(now()) : Optional.empty();
+            if (next.isPresent()) {
+                errorAnswer = Optional.of(() -> deliver(head, bytes));
+                execute(next.get());
+            } else {
+                deliver(head, bytes);
+            }
+        }
+
+        private void deliver(HttpHead head, byte[] bytes) {
+            errorAnswer = Optional.empty();
+            if (answer.isStreaming()) {
+                execute(machine.onSendLost(sent.server(), now()));
+                return;
+            }
+            metrics.recordAnswer(now() - plan.receivedMs());
+            log.logAnswer(
+                    "status " + head.status() + " of " + sent.server().id(), machine.sendCount());
+            release();
+            answer.sendComplete(
+                    new HttpHead(head.status(), context.protocol().headersToCaller(head.headers())),
+                    bytes);
+        }
+
+        @Override
+        public void onRefusal(HttpHead head, AnswerMetadata metadata) {
+            if (isStale()) {
+                return;
+            }
+            closeSend();
+            String what = "refused with " + head.status();
+            if (metadata.isWrongServer()) {
+                logNotRun(sent.server(), SendEnd.REFUSED, what, sentMs);
+                execute(machine.onWrongServer(sent.server(), now()));
+                context.loadsChanged().run();
+                return;
+            }
+            recordLoad(metadata);
+            long deprioritizedMs =
+                    context.health().recordRefusal(sent.server().incarnation(), now());
+            logNotRun(
+                    sent.server(),
+                    SendEnd.REFUSED,
+                    what + " and is the last choice for " + deprioritizedMs + " ms,",
+                    sentMs);
+            execute(machine.onRefused(now()));
+        }
+
+        @Override
+        public void onNotSent() {
+            if (isStale()) {
+                return;
+            }
+            closeSend();
+            logNotRun(sent.server(), SendEnd.NOT_REACHED, "could not be reached", sentMs);
+            execute(machine.onConnectFailed(sent.server(), now()));
+            context.loadsChanged().run();
+        }
+
+        @Override
+        public void onLost(String reason) {
+            if (isStale()) {
+                return;
+            }
+            events.handleServerLoss();
+            closeSend();
+            logLost(sent.server(), SendEnd.BROKE_OFF, "lost it, " + reason, sentMs);
+            trial.recordLoss(sent.server(), sentMs, true, now());
+            execute(machine.onSendLost(sent.server(), now()));
+            context.loadsChanged().run();
+        }
+
+        private void recordLoad(AnswerMetadata metadata) {
+            ServerIncarnation incarnation = sent.server().incarnation();
+            metadata.requestCount()
+                    .ifPresent(n -> context.loads().recordServerReport(incarnation, n, now()));
+        }
+    }
+}
--- a/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
@@ -33,8 +33,8 @@
     }
 
     /** The request is sent, for the {@code number}-th time. */
-    void goes(Step.Send send, int number) {
-        ServerLoad use = context.loads().totalLoad(send.server().incarnation());
+    void logSend(Step.Send send, int number) {
+        ServerLoad load = context.loads().totalLoad(send.server().incarnation());
         LOG.info(
                 "relay: request {} goes to {} in {}, send {} after event {}, {}; {} running and {}"
                         + " reading there, copy at {}, config {}",
@@ -44,23 +44,23 @@
                 number,
                 text(send.lastEventId()),
                 send.fromCopy() ? "from its copy" : "anew",
-                use.running(),
-                use.prefills(),
+                load.running(),
+                load.prefills(),
                 send.copyHolder().map(h -> h.id().value()).orElse("none"),
                 context.view().get().catalog().map(Catalog::version).orElse(0L));
     }
 
     /** Engines were asked for the prompt. */
-    void searched(int asked, Optional<BackendServer> keeper) {
+    void logPromptSearch(int askedCount, Optional<BackendServer> engine) {
         LOG.info(
                 "relay: request {}: its prompt is kept by {}, {} engines asked",
                 id,
-                keeper.map(k -> k.id().value()).orElse("none"),
-                asked);
+                engine.map(e -> e.id().value()).orElse("none"),
+                askedCount);
     }
 
     /** Something happened at the server of the send that left at {@code sentMs}. */
-    void at(BackendServer server, String what, long sentMs) {
+    void logServerEvent(BackendServer server, String what, long sentMs) {
         LOG.info(
                 "relay: request {}: {} in {} {} after {} ms",
                 id,
@@ -74,7 +74,7 @@
      * A send that left at {@code sentMs} ended without a whole answer, {@code events} after its
      * start.
      */
-    void lost(BackendServer server, String what, long sentMs, int events, ContentId content) {
+    void logLoss(BackendServer server, String what, long sentMs, int events, ContentId content) {
         LOG.info(
                 "relay: request {}: {} in {} {} after {} ms and {} events, content {}",
                 id,
@@ -87,13 +87,13 @@
     }
 
     /** A permit to send the request again was asked for at {@code askedMs}. */
-    void repeat(ServiceName service, PermitDecision decision, long askedMs) {
+    void logRetryPermit(ServiceName service, PermitDecision decision, long requestedMs) {
         LOG.info(
                 "relay: request {}: repeat for {} {} after {} ms",
                 id,
                 service,
                 text(decision),
-                context.clock().nowMs() - askedMs);
+                context.clock().nowMs() - requestedMs);
     }
 
     private static String text(PermitDecision decision) {
@@ -103,27 +103,28 @@
     }
 
     /** An engine that has not begun the request in time reports, or does not. */
-    void reported(BackendServer server, Optional<EngineReport> report, long sentMs) {
-        at(server, "reports " + report.map(EngineReport::toString).orElse("nothing"), sentMs);
+    void logReport(BackendServer server, Optional<EngineReport> report, long sentMs) {
+        logServerEvent(
+                server, "reports " + report.map(EngineReport::toString).orElse("nothing"), sentMs);
     }
 
     /** A permit was asked for at {@code askedMs}. */
-    void permit(BackendServer server, PermitDecision decision, long askedMs) {
+    void logServerPermit(BackendServer server, PermitDecision decision, long requestedMs) {
         LOG.info(
                 "relay: request {}: permit for {} {} after {} ms, it takes {}",
                 id,
                 server.id(),
                 text(decision),
-                context.clock().nowMs() - askedMs,
+                context.clock().nowMs() - requestedMs,
                 context.limits().describe(server.incarnation()));
     }
 
     /** A stream goes on after a pause. */
-    void goesOn(BackendServer server, long pauseMs) {
+    void logResume(BackendServer server, long pauseMs) {
         LOG.info("relay: request {} goes on at {} after {} ms", id, server.id(), pauseMs);
     }
 
-    void answered(String what, int sends) {
+    void logAnswer(String what, int sends) {
         LOG.info(
                 "relay: request {} answered, {} after {} ms and {} sends",
                 id,
@@ -132,7 +133,7 @@
                 sends);
     }
 
-    void ended(Step.End end, int sends) {
+    void logEnd(Step.End end, int sends) {
         LOG.info(
                 "relay: request {} ends {} {} after {} ms and {} sends, {}",
                 id,
@@ -144,8 +145,8 @@
     }
 
     /** The caller left; {@code where} tells how far the request had come. */
-    void left(String where) {
-        LOG.info("relay: request {} was left by its caller after {} ms, {}", id, ageMs(), where);
+    void logCallerLeft(String stage) {
+        LOG.info("relay: request {} was left by its caller after {} ms, {}", id, ageMs(), stage);
     }
 
     static String text(OptionalLong event) {
--- a/masticweir/src/main/java/org/masticweir/relay/RequestMetadata.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestMetadata.java
@@ -25,11 +25,11 @@
         Optional<PromptId> prompt,
         OptionalLong lastEventId) {
     public RequestMetadata {
-        checkNotNull(requestId, "request");
-        checkNotNull(timeoutMs, "waitMs");
-        checkNotNull(teamKey, "key");
+        checkNotNull(requestId, "requestId");
+        checkNotNull(timeoutMs, "timeoutMs");
+        checkNotNull(teamKey, "teamKey");
         checkNotNull(size, "size");
         checkNotNull(prompt, "prompt");
-        checkNotNull(lastEventId, "afterEvent");
+        checkNotNull(lastEventId, "lastEventId");
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/RequestPermits.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestPermits.java
@@ -17,28 +17,28 @@
     }
 
     /** Asks whether the request may go to a server that limits what it takes. */
-    void toServer(BackendServer server, int urgency, Consumer<Boolean> then) {
-        long askedMs = context.clock().nowMs();
+    void requestServerPermit(BackendServer server, int urgency, Consumer<Boolean> callback) {
+        long requestedMs = context.clock().nowMs();
         context.limits()
                 .requestPermit(
                         server.incarnation(),
                         urgency,
                         decision -> {
-                            log.permit(server, decision, askedMs);
-                            then.accept(decision.isGranted());
+                            log.logServerPermit(server, decision, requestedMs);
+                            callback.accept(decision.isGranted());
                         });
     }
 
     /** Asks whether the request may be sent again. */
-    void toRepeat(ServiceName service, int urgency, Consumer<Boolean> then) {
-        long askedMs = context.clock().nowMs();
-        context.sharedRepeats()
-                .ask(
+    void requestRetryPermit(ServiceName service, int urgency, Consumer<Boolean> callback) {
+        long requestedMs = context.clock().nowMs();
+        context.sharedRetries()
+                .request(
                         service,
                         urgency,
                         decision -> {
-                            log.repeat(service, decision, askedMs);
-                            then.accept(decision.isGranted());
+                            log.logRetryPermit(service, decision, requestedMs);
+                            callback.accept(decision.isGranted());
                         });
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/RunTimer.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestTimer.java
@@ -8,17 +8,17 @@
 import org.xnio.XnioIoThread;
 
 /** The one timer of a request: setting it anew drops the one before; on the traffic thread. */
-final class RunTimer implements AutoCloseable {
+final class RequestTimer implements AutoCloseable {
     private final XnioIoThread thread;
     private Optional<XnioExecutor.Key> key = Optional.empty();
     private int number;
 
-    RunTimer(XnioIoThread thread) {
+    RequestTimer(XnioIoThread thread) {
         this.thread = checkNotNull(thread, "thread");
     }
 
     /** Runs {@code then} after {@code ms} unless the timer is set or closed before. */
-    void set(long ms, Runnable then) {
+    void set(long ms, Runnable task) {
         close();
         int own = number;
         key =
@@ -26,7 +26,7 @@
                         thread.executeAfter(
                                 () -> {
                                     if (own == number) {
-                                        then.run();
+                                        task.run();
                                     }
                                 },
                                 ms,
--- a/masticweir/src/main/java/org/masticweir/relay/SendMetadata.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SendMetadata.java
@@ -15,7 +15,7 @@
 public record SendMetadata(
         String requestId, Step.Send send, Optional<TeamId> team, long remainingMs) {
     public SendMetadata {
-        checkNotNull(requestId, "request");
+        checkNotNull(requestId, "requestId");
         checkNotNull(send, "send");
         checkNotNull(team, "team");
     }
--- a/masticweir/src/main/java/org/masticweir/relay/ServerProbe.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerProbe.java
@@ -27,19 +27,19 @@
  */
 final class ServerProbe {
     /** Time for the answer, in ms: a way there and back and a busy server's turn. */
-    private static final long ANSWER_MS = 300;
+    private static final long TIMEOUT_MS = 300;
 
     /** Calls made where a connection kept from before may have been broken with the others. */
-    private static final int MOST_CALLS = 2;
+    private static final int MAX_CALLS = 2;
 
     private final HttpCaller calls;
-    private final PlatformProtocol dialect;
+    private final PlatformProtocol protocol;
     private final SharedLimits limits;
-    private final AnswerMetadataRecorder notices;
-    private final Map<ServerIncarnation, List<Consumer<Fate>>> asking = new HashMap<>();
+    private final AnswerMetadataRecorder answerMetadata;
+    private final Map<ServerIncarnation, List<Consumer<Result>>> pending = new HashMap<>();
 
     /** What became of a server. */
-    enum Fate {
+    enum Result {
         ENDED,
         LIVES,
         /** It takes no connection. */
@@ -50,68 +50,68 @@
 
     ServerProbe(
             HttpCaller calls,
-            PlatformProtocol dialect,
+            PlatformProtocol protocol,
             SharedLimits limits,
-            AnswerMetadataRecorder notices) {
+            AnswerMetadataRecorder answerMetadata) {
         this.calls = checkNotNull(calls, "calls");
-        this.dialect = checkNotNull(dialect, "dialect");
+        this.protocol = checkNotNull(protocol, "protocol");
         this.limits = checkNotNull(limits, "limits");
-        this.notices = checkNotNull(notices, "notices");
+        this.answerMetadata = checkNotNull(answerMetadata, "answerMetadata");
     }
 
     /** Tells {@code then}, once, what became of {@code server}. */
-    void ask(BackendServer server, Optional<Catalog> catalog, Consumer<Fate> then) {
-        List<Consumer<Fate>> others = asking.get(server.incarnation());
+    void probe(BackendServer server, Optional<Catalog> catalog, Consumer<Result> callback) {
+        List<Consumer<Result>> others = pending.get(server.incarnation());
         if (others != null) {
-            others.add(then);
+            others.add(callback);
             return;
         }
         Optional<ServiceSpec> spec = catalog.flatMap(c -> c.service(server.service()));
         Optional<HttpCall> call = spec.flatMap(s -> callTo(server, s));
-        if (call.isEmpty() || notices.isPausing(server.incarnation())) {
-            then.accept(Fate.UNKNOWN);
+        if (call.isEmpty() || answerMetadata.isPausing(server.incarnation())) {
+            callback.accept(Result.UNKNOWN);
             return;
         }
-        List<Consumer<Fate>> asked = new ArrayList<>(List.of(then));
-        asking.put(server.incarnation(), asked);
+        List<Consumer<Result>> callbacks = new ArrayList<>(List.of(callback));
+        pending.put(server.incarnation(), callbacks);
         call(server, call.get(), spec.get().engine().isPresent(), 1);
     }
 
-    private void call(BackendServer server, HttpCall call, boolean reports, int number) {
+    private void call(BackendServer server, HttpCall call, boolean isEngine, int number) {
         limits.recordProbe(server.incarnation());
-        CompletableFuture<HttpOutcome> answer = calls.call(call, ANSWER_MS);
+        CompletableFuture<HttpOutcome> answer = calls.call(call, TIMEOUT_MS);
         answer.thenAccept(
                 outcome -> {
-                    notices.called(server.incarnation(), outcome);
-                    if (outcome instanceof HttpOutcome.MayHaveBeenSent && number < MOST_CALLS) {
-                        call(server, call, reports, number + 1);
+                    answerMetadata.recordCall(server.incarnation(), outcome);
+                    if (outcome instanceof HttpOutcome.MayHaveBeenSent && number < MAX_CALLS) {
+                        call(server, call, isEngine, number + 1);
                     } else {
-                        Fate fate = fate(server, reports, outcome);
-                        asking.remove(server.incarnation()).forEach(then -> then.accept(fate));
+                        Result result = toResult(server, isEngine, outcome);
+                        pending.remove(server.incarnation()).forEach(c -> c.accept(result));
                     }
                 });
     }
 
     private Optional<HttpCall> callTo(BackendServer server, ServiceSpec spec) {
         if (spec.engine().isPresent()) {
-            return Optional.of(dialect.engineProbeCall(server));
+            return Optional.of(protocol.engineProbeCall(server));
         }
         return spec.healthPath().isEmpty()
                 ? Optional.empty()
-                : Optional.of(dialect.healthProbeCall(server, spec.healthPath()));
+                : Optional.of(protocol.healthProbeCall(server, spec.healthPath()));
     }
 
-    private Fate fate(BackendServer server, boolean reports, HttpOutcome outcome) {
+    private Result toResult(BackendServer server, boolean isEngine, HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answered) {
-            boolean otherServer = dialect.isWrongServerStatus(answered.answer().status());
-            boolean otherLife =
-                    reports
-                            && AliveCheck.report(dialect, outcome)
+            boolean isOtherServer = protocol.isWrongServerStatus(answered.answer().status());
+            boolean isOtherIncarnation =
+                    isEngine
+                            && EngineStatusProbe.parseReport(protocol, outcome)
                                     .filter(r -> !r.isFrom(server.incarnation()))
                                     .isPresent();
-            return otherServer || otherLife ? Fate.ENDED : Fate.LIVES;
+            return isOtherServer || isOtherIncarnation ? Result.ENDED : Result.LIVES;
         }
-        boolean notReached = outcome instanceof HttpOutcome.NeverSent && !outcome.isWithheld();
-        return notReached ? Fate.UNREACHED : Fate.UNKNOWN;
+        boolean isNotReached = outcome instanceof HttpOutcome.NeverSent && !outcome.isWithheld();
+        return isNotReached ? Result.UNREACHED : Result.UNKNOWN;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
@@ -30,22 +30,22 @@
     /** Longest whole answer kept, in bytes. */
     private static final int MAX_ANSWER_BYTES = 8 << 20;
 
-    private final String request;
+    private final String requestId;
     private final boolean streams;
-    private final PlatformProtocol dialect;
+    private final PlatformProtocol protocol;
     private final SendListener listener;
     private final EventSplitter splitter = new EventSplitter();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Optional<HttpStream> http = Optional.empty();
     private HttpHead head;
-    private AnswerMetadata word;
-    private boolean over;
+    private AnswerMetadata metadata;
+    private boolean isEnded;
 
     private ServerSend(
-            String request, boolean streams, PlatformProtocol dialect, SendListener listener) {
-        this.request = checkNotNull(request, "request");
+            String requestId, boolean streams, PlatformProtocol protocol, SendListener listener) {
+        this.requestId = checkNotNull(requestId, "requestId");
         this.streams = streams;
-        this.dialect = checkNotNull(dialect, "dialect");
+        this.protocol = checkNotNull(protocol, "protocol");
         this.listener = checkNotNull(listener, "listener");
     }
 
@@ -53,7 +53,7 @@
      * Connects to {@code address} and sends what {@code call} returns then.
      *
      * @param call asked once the connection stands; empty if there is nothing to send any more
-     * @param request id that the answer must bear
+     * @param requestId id that the answer must bear
      * @param streams whether a success is a series of events
      */
     static ServerSend open(
@@ -62,16 +62,16 @@
             InetSocketAddress address,
             Supplier<Optional<HttpCall>> call,
             long connectTimeoutMs,
-            String request,
+            String requestId,
             boolean streams,
-            PlatformProtocol dialect,
+            PlatformProtocol protocol,
             SendListener listener) {
-        ServerSend send = new ServerSend(request, streams, dialect, listener);
-        HttpStreamListener bytes = send.new Bytes();
+        ServerSend send = new ServerSend(requestId, streams, protocol, listener);
+        HttpStreamListener bytes = send.new AnswerReader();
         HttpStream stream =
                 HttpStream.open(thread, buffers, address, call, connectTimeoutMs, bytes);
         send.http = Optional.of(stream);
-        if (send.over) {
+        if (send.isEnded) {
             stream.close();
         }
         return send;
@@ -80,58 +80,58 @@
     /** Drops the connection; nothing is heard of it any more. */
     @Override
     public void close() {
-        over = true;
+        isEnded = true;
         http.ifPresent(HttpStream::close);
     }
 
-    private boolean isSeries() {
+    private boolean isEventStream() {
         return streams && head.isSuccess();
     }
 
-    private void unusable(String reason) {
-        if (over) {
+    private void discard(String reason) {
+        if (isEnded) {
             return;
         }
         close();
-        listener.lost(reason);
+        listener.onLost(reason);
     }
 
     /** Reads the answer's bytes. */
-    private final class Bytes implements HttpStreamListener {
+    private final class AnswerReader implements HttpStreamListener {
         @Override
         public void head(HttpHead received) {
-            if (over) {
+            if (isEnded) {
                 return;
             }
             head = received;
-            word = dialect.parseAnswerMetadata(received);
-            if (word.isNotRun()) {
-                if (!word.isWrongServer()) {
-                    listener.head(word);
+            metadata = protocol.parseAnswerMetadata(received);
+            if (metadata.isNotRun()) {
+                if (!metadata.isWrongServer()) {
+                    listener.onHead(metadata);
                 }
                 return;
             }
-            if (word.requestId().isPresent() && !word.requestId().get().equals(request)) {
-                unusable("the answer is to another request");
-            } else if (received.isSuccess() && !word.isSigned()) {
-                unusable("the answer bears no signature");
+            if (metadata.requestId().isPresent() && !metadata.requestId().get().equals(requestId)) {
+                discard("the answer is to another request");
+            } else if (received.isSuccess() && !metadata.isSigned()) {
+                discard("the answer bears no signature");
             } else {
-                listener.head(word);
+                listener.onHead(metadata);
             }
         }
 
         @Override
         public void bytes(ByteBuffer part) throws IOException {
-            if (over) {
+            if (isEnded) {
                 part.position(part.limit());
                 return;
             }
-            if (isSeries()) {
-                splitter.take(
+            if (isEventStream()) {
+                splitter.feed(
                         part,
                         (event, id) -> {
-                            if (!over) {
-                                listener.event(head, event, id);
+                            if (!isEnded) {
+                                listener.onEvent(head, event, id);
                             }
                         });
                 return;
@@ -146,34 +146,34 @@
 
         @Override
         public void end() {
-            if (over) {
+            if (isEnded) {
                 return;
             }
-            if (word.isNotRun()) {
-                over = true;
-                listener.refused(head, word);
-            } else if (!isSeries()) {
-                over = true;
-                listener.answered(head, word, body.toByteArray());
+            if (metadata.isNotRun()) {
+                isEnded = true;
+                listener.onRefusal(head, metadata);
+            } else if (!isEventStream()) {
+                isEnded = true;
+                listener.onAnswer(head, metadata, body.toByteArray());
             } else if (splitter.isAtEventEnd()) {
-                over = true;
-                listener.eventsEnded(head);
+                isEnded = true;
+                listener.onStreamEnd(head);
             } else {
-                unusable("the answer ends within an event");
+                discard("the answer ends within an event");
             }
         }
 
         @Override
         public void lost(boolean sent) {
-            if (over) {
+            if (isEnded) {
                 return;
             }
             if (sent) {
-                unusable("the connection broke");
+                discard("the connection broke");
                 return;
             }
-            over = true;
-            listener.notSent();
+            isEnded = true;
+            listener.onNotSent();
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/SharedRetryPermits.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SharedRetryPermits.java
@@ -12,12 +12,12 @@
 
 /** Permits for repeats beyond what a router's own requests allow; owned by the traffic thread. */
 final class SharedRetryPermits {
-    private final ServiceRetryBudgets repeats;
+    private final ServiceRetryBudgets retryBudgets;
     private final SharedPermits permits;
     private final Clock clock;
 
-    SharedRetryPermits(ServiceRetryBudgets repeats, SharedPermits permits, Clock clock) {
-        this.repeats = checkNotNull(repeats, "repeats");
+    SharedRetryPermits(ServiceRetryBudgets retryBudgets, SharedPermits permits, Clock clock) {
+        this.retryBudgets = checkNotNull(retryBudgets, "retryBudgets");
         this.permits = checkNotNull(permits, "permits");
         this.clock = checkNotNull(clock, "clock");
     }
@@ -26,18 +26,19 @@
      * Asks for a permit to send one request again.
      *
      * @param urgency 0 for the first to be served
-     * @param then hears the decision on the traffic thread
+     * @param callback hears the decision on the traffic thread
      */
-    void ask(ServiceName service, int urgency, Consumer<PermitDecision> then) {
+    void request(ServiceName service, int urgency, Consumer<PermitDecision> callback) {
         permits.request(
                 PermitKey.ofRepeats(service),
                 urgency,
-                repeats.allowance().orElseThrow(),
+                retryBudgets.allowance().orElseThrow(),
                 decision -> {
                     if (!decision.isGranted()) {
-                        repeats.suspendPermits(service, clock.nowMs() + decision.retryAfterMs());
+                        retryBudgets.suspendPermits(
+                                service, clock.nowMs() + decision.retryAfterMs());
                     }
-                    then.accept(decision);
+                    callback.accept(decision);
                 });
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
@@ -15,41 +15,41 @@
 final class SilenceInquiry {
     private final RelayContext context;
     private final RequestLog log;
-    private final String request;
+    private final String requestId;
     private final SilenceTimer silence;
 
-    SilenceInquiry(RelayContext context, RequestLog log, String request, SilenceTimer silence) {
+    SilenceInquiry(RelayContext context, RequestLog log, String requestId, SilenceTimer silence) {
         this.context = checkNotNull(context, "context");
         this.log = checkNotNull(log, "log");
-        this.request = checkNotNull(request, "request");
+        this.requestId = checkNotNull(requestId, "requestId");
         this.silence = checkNotNull(silence, "silence");
     }
 
     /**
      * Tells {@code then}, once, why the server is lost, or nothing if it gets more time.
      *
-     * @param wanted whether an answer still matters; if not, it changes nothing
+     * @param isRelevant whether an answer still matters; if not, it changes nothing
      */
-    void start(long nowMs, BooleanSupplier wanted, Consumer<Optional<String>> then) {
+    void start(long nowMs, BooleanSupplier isRelevant, Consumer<Optional<String>> callback) {
         if (silence.isLossCertain()) {
-            then.accept(Optional.of("silent for " + silence.silentMs(nowMs) + " ms"));
-        } else if (context.notices().isPausing(silence.server().incarnation())) {
-            then.accept(awaitPause(nowMs));
+            callback.accept(Optional.of("silent for " + silence.silentMs(nowMs) + " ms"));
+        } else if (context.answerMetadata().isPausing(silence.server().incarnation())) {
+            callback.accept(checkDuringPause(nowMs));
         } else {
-            AliveCheck.ask(
+            EngineStatusProbe.probe(
                     context,
                     silence.server(),
                     report -> {
-                        if (wanted.getAsBoolean()) {
-                            log.reported(silence.server(), report, silence.sentMs());
-                            then.accept(loss(report));
+                        if (isRelevant.getAsBoolean()) {
+                            log.logReport(silence.server(), report, silence.sentMs());
+                            callback.accept(lossReason(report));
                         }
                     });
         }
     }
 
     /** A server that takes no calls is believed to live unless other sends to it have failed. */
-    private Optional<String> awaitPause(long nowMs) {
+    private Optional<String> checkDuringPause(long nowMs) {
         if (context.health().isDown(silence.server(), nowMs)) {
             return Optional.of("failed while it took no calls");
         }
@@ -57,7 +57,7 @@
         return Optional.empty();
     }
 
-    private Optional<String> loss(Optional<EngineReport> report) {
+    private Optional<String> lossReason(Optional<EngineReport> report) {
         if (report.isEmpty()) {
             return Optional.of("no sign of life");
         }
@@ -66,7 +66,7 @@
             return Optional.of("has started again");
         }
         long now = context.clock().nowMs();
-        if (!silence.recordReport(report.get(), request, now)) {
+        if (!silence.recordReport(report.get(), requestId, now)) {
             return Optional.of("does not have the request any more");
         }
         context.health().recordAnswer(silence.server().incarnation(), now);
--- a/masticweir/src/test/java/org/masticweir/relay/EarlyConnectionsTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/EarlyConnectionProxyTest.java
@@ -24,7 +24,7 @@
  * A caller's report is lost though it could have waited: all routers were lost and start again, its
  * connection is refused while they do, and its one retry is refused too.
  */
-class EarlyConnectionsTest {
+class EarlyConnectionProxyTest {
     private static final int WAIT_MS = 10_000;
 
     private InetSocketAddress address;
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void areServedOnceTheRouterListens() throws IOException {
+    void forwardsOnceTheRouterListens() throws IOException {
         try (Socket caller = caller()) {
             caller.getOutputStream().write("ask".getBytes(US_ASCII));
             try (ServerSocket port = listenAfterRelease();
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void carryLongBodiesBothWays() throws Exception {
+    void forwardsLongBodiesInBothDirections() throws Exception {
         byte[] body = pattern(1 << 20);
         try (Socket caller = caller();
                 ServerSocket port = listenAfterRelease();
@@ -96,7 +96,7 @@
 
     /** A caller that gave up before anyone read its request must not be run for. */
     @Test
-    void ofCallersThatHaveLeftReachNobody() throws IOException {
+    void dropsConnectionsOfDisconnectedCallers() throws IOException {
         caller().close();
         try (Socket stays = caller();
                 ServerSocket port = listenAfterRelease();
@@ -110,7 +110,7 @@
 
     /** A long request is passed on in parts, and its caller's close lies behind the last one. */
     @Test
-    void ofCallersThatHaveLeftBringNoWholeRequest() throws IOException {
+    void forwardsNoCompleteRequestOfDisconnectedCallers() throws IOException {
         int bytes = (8 << 10) + 500;
         try (Socket caller = caller()) {
             caller.getOutputStream().write(pattern(bytes));
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void endWhenTheCallerLeaves() throws IOException {
+    void closesWhenTheCallerDisconnects() throws IOException {
         Socket caller = caller();
         try (ServerSocket port = listenAfterRelease();
                 Socket inner = port.accept()) {
@@ -137,7 +137,7 @@
 
     /** Nothing is left of a start once its callers are gone. */
     @Test
-    void leaveNoThreadBehind() throws Exception {
+    void endsItsThreadWithTheLastConnection() throws Exception {
         try (Socket caller = caller();
                 ServerSocket port = listenAfterRelease();
                 Socket inner = port.accept()) {
@@ -155,7 +155,7 @@
     private ServerSocket listenAfterRelease() throws IOException {
         var waiting = listener.release();
         ServerSocket port = router();
-        EarlyConnections.start(waiting, address);
+        EarlyConnectionProxy.start(waiting, address);
         return port;
     }
 
--- a/masticweir/src/test/java/org/masticweir/relay/EventSplitterTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/EventSplitterTest.java
@@ -29,7 +29,7 @@
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i < bytes.length; i += step) {
             ByteBuffer part = ByteBuffer.wrap(bytes, i, Math.min(step, bytes.length - i));
-            splitter.take(
+            splitter.feed(
                     part,
                     (event, id) -> {
                         events.add(StandardCharsets.UTF_8.decode(event).toString());
@@ -41,7 +41,7 @@
 
     /** However the bytes are cut on their way, the same events come out, byte for byte. */
     @Property
-    void givesTheSameEventsHoweverTheBytesAreCut(@ForAll @IntRange(min = 1, max = 80) int step)
+    void emitsTheSameEventsHoweverTheBytesAreDivided(@ForAll @IntRange(min = 1, max = 80) int step)
             throws IOException {
         events.clear();
         ids.clear();
@@ -56,14 +56,14 @@
      * was passed on, and the next server began with that event.
      */
     @Test
-    void keepsTheBeginningOfAnEventThatNeverEnds() throws IOException {
+    void holdsBackAnIncompleteEvent() throws IOException {
         EventSplitter splitter = split("id: 1\ndata: a\n\nid: 2\ndata: ha", 5);
         assertEquals(1, events.size());
         assertFalse(splitter.isAtEventEnd());
     }
 
     @Test
-    void givesUpOnAnEventWithoutEnd() {
+    void rejectsAnEventThatIsTooLong() {
         assertThrows(
                 IOException.class,
                 () -> split("x".repeat(EventSplitter.MAX_EVENT_BYTES + 1), 4096));
--- a/masticweir/src/test/java/org/masticweir/relay/ExchangeEndTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ExchangeCompletionTest.java
@@ -21,7 +21,7 @@
 import org.masticweir.http.HttpHeaders;
 
 /** When a request's exchange counts as over. */
-class ExchangeEndTest {
+class ExchangeCompletionTest {
     private static final long WAIT_MS = 10_000;
 
     /** More than the system keeps for a caller that does not read. */
@@ -50,9 +50,10 @@
     }
 
     private void answer(HttpServerExchange exchange) {
-        ExchangeEnd.onEnd(exchange, new KeepAliveConnections(), () -> ended.complete(null));
+        ExchangeCompletion.addListener(
+                exchange, new KeepAliveConnections(), () -> ended.complete(null));
         HttpHead head = new HttpHead(200, HttpHeaders.copyOf(Map.of()));
-        new CallerAnswer(exchange, () -> {}).whole(head, new byte[answerBytes]);
+        new CallerAnswerWriter(exchange, () -> {}).sendComplete(head, new byte[answerBytes]);
         endedWithTheCall.complete(ended.isDone());
     }
 
@@ -78,7 +79,7 @@
 
     /** A router ends over the answer of a caller that reads slowly: it counted as given. */
     @Test
-    void isNotBeforeTheAnswersLastByte() throws Exception {
+    void completesAfterTheLastByteOfTheAnswer() throws Exception {
         try (Socket caller = ask()) {
             assertFalse(endedWithTheCall.get(WAIT_MS, TimeUnit.MILLISECONDS));
             assertFalse(ended.isDone());
@@ -88,7 +89,7 @@
     }
 
     @Test
-    void isTheCloseOfACallerThatDoesNotRead() throws Exception {
+    void completesWhenACallerThatDoesNotReadCloses() throws Exception {
         try (Socket caller = ask()) {
             endedWithTheCall.get(WAIT_MS, TimeUnit.MILLISECONDS);
         }
@@ -96,7 +97,7 @@
     }
 
     @Test
-    void isSoonForAShortAnswer() throws Exception {
+    void completesSoonForAShortAnswer() throws Exception {
         answerBytes = 1;
         try (Socket caller = ask()) {
             ended.get(WAIT_MS, TimeUnit.MILLISECONDS);
--- a/masticweir/src/test/java/org/masticweir/relay/HedgedAskTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/HedgedPeerRequestTest.java
@@ -15,7 +15,7 @@
 import org.masticweir.time.ManualScheduler;
 
 /** A reply that came late was dropped and asked for again, or a silent peer held up the rest. */
-class HedgedAskTest {
+class HedgedPeerRequestTest {
     private static final CatalogRequest QUESTION = new CatalogRequest(1, true);
     private static final PeerMessage REPLY = CatalogReply.whole("2");
     private static final RouterId FIRST = RouterId.of("first");
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void takesAReplyThatComesLate() {
+    void acceptsALateReply() {
         ask(FIRST);
         afterMs(4 * HedgedPeerRequest.HEDGE_DELAY_MS);
         reply(0);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void asksAPeerNoSecondTimeBeforeItHasReplied() {
+    void doesNotAskAPeerAgainBeforeItsReply() {
         ask(FIRST);
         afterMs(2 * HedgedPeerRequest.HEDGE_DELAY_MS);
         ask(FIRST);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void asksOneOtherPeerAfterAWhile() {
+    void asksOneOtherPeerAfterTheHedgeDelay() {
         ask(FIRST);
         ask(SECOND);
         assertEquals(List.of(FIRST), peers.recipients);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void asksAnotherAtOnceWhenAPeerIsLost() {
+    void asksAnotherPeerAtOnceWhenALinkIsLost() {
         ask(FIRST);
         peers.replies
                 .get(0)
