--- a/masticweir/src/main/java/org/masticweir/relay/AnswerMetadata.java
+++ b/masticweir/src/main/java/org/masticweir/relay/AnswerMetadata.java
@@ -8,16 +8,16 @@
 import org.masticweir.permits.AnnouncedLimit;
 
 /**
- * What the head of a server's answer says of the request and the server; immutable.
+ * What the head of a server's answer states about the request and the server; immutable.
  *
- * @param isNotRun whether the server says that it has not run the request and never will
- * @param isWrongServer whether another server than the one that was meant has the address
- * @param requestId which request it answers
- * @param isSigned whether it bears the server's signature
- * @param requestCount requests that the server runs and keeps waiting
- * @param limit how many requests it takes
- * @param isLeaving whether it ends soon and wants no more requests
- * @param pauseMs how long it wants no requests of this router
+ * @param isNotRun whether the server has not run the request and never will
+ * @param isWrongServer whether another server than the intended one has the address
+ * @param requestId id of the request that it answers
+ * @param isSigned whether it has the server's signature
+ * @param requestCount requests that are running or queued at the server
+ * @param limit request rate that the server accepts
+ * @param isLeaving whether the server ends soon and accepts no more requests
+ * @param pauseMs how long this router must not send requests to the server
  */
 public record AnswerMetadata(
         boolean isNotRun,
--- a/masticweir/src/main/java/org/masticweir/relay/AnswerMetadataRecorder.java
+++ b/masticweir/src/main/java/org/masticweir/relay/AnswerMetadataRecorder.java
@@ -17,8 +17,8 @@
 import org.masticweir.time.Clock;
 
 /**
- * Takes what servers say of themselves in the heads of their answers, with a log line and a count
- * for what is new; owned by the traffic thread.
+ * Records what servers announce about themselves in the heads of their answers, and logs and counts
+ * each new announcement; owned by the traffic thread.
  */
 final class AnswerMetadataRecorder {
     private static final Logger LOG = LogManager.getLogger(AnswerMetadataRecorder.class);
@@ -45,10 +45,10 @@
     }
 
     /**
-     * A server answered a request.
+     * Records the metadata of an answer to a request.
      *
-     * @param request the request it answered, for the log
-     * @param sentMs when that request left
+     * @param request id of the request, for the log
+     * @param sentMs when the request was sent
      */
     void recordAnswer(
             ServerIncarnation server, AnswerMetadata metadata, String request, long sentMs) {
@@ -56,7 +56,9 @@
         recordAnnouncements(server, metadata, request);
     }
 
-    /** A server was called for its state, or for what it keeps. */
+    /**
+     * Records the outcome of a call for the state of a server or for the prompts that it caches.
+     */
     void recordCall(ServerIncarnation server, HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answered) {
             HttpAnswer answer = answered.answer();
@@ -68,7 +70,7 @@
         }
     }
 
-    /** Returns whether a server wants no calls now. */
+    /** Returns whether a server has asked for a pause that has not ended. */
     boolean isPausing(ServerIncarnation server) {
         return notices.remainingPauseMs(server, clock.nowMs()) > 0;
     }
--- a/masticweir/src/main/java/org/masticweir/relay/CallerAnswerWriter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CallerAnswerWriter.java
@@ -15,9 +15,12 @@
 import org.xnio.IoUtils;
 import org.xnio.channels.StreamSinkChannel;
 
-/** Writes the one answer of a request to its caller; runs on the traffic thread. */
+/** Writes the answer of one request to its caller; runs on the traffic thread. */
 final class CallerAnswerWriter {
-    /** Bytes kept for a caller that doesn't read; more than any answer that callers ask for. */
+    /**
+     * Limit on the bytes that are queued for a caller that does not read; larger than any answer
+     * that callers request.
+     */
     private static final int MAX_QUEUED_BYTES = 4 << 20;
 
     private static final double MS_PER_SECOND = 1_000.0;
@@ -31,21 +34,21 @@
     private boolean isEnded;
 
     /**
-     * Creates the answer of {@code exchange}.
+     * Creates the writer for the answer of {@code exchange}.
      *
-     * @param onBroken runs when the caller can't be written to any more
+     * @param onBroken runs when the answer can no longer be written to the caller
      */
     CallerAnswerWriter(HttpServerExchange exchange, Runnable onBroken) {
         this.exchange = checkNotNull(exchange, "exchange");
         this.onBroken = checkNotNull(onBroken, "onBroken");
     }
 
-    /** Returns whether the head of a series of events has been sent. */
+    /** Returns whether the head of an event stream has been sent. */
     boolean isStreaming() {
         return sink != null;
     }
 
-    /** Sends a whole answer. */
+    /** Sends a complete answer. */
     void sendComplete(HttpHead head, byte[] body) {
         if (isEnded) {
             return;
@@ -56,13 +59,14 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(body));
     }
 
-    /** Sends an error of this router's own. */
+    /** Sends an error of this router. */
     void sendError(ErrorCode code, OptionalLong retryAfterMs, String reason) {
         if (isEnded) {
             return;
         }
         if (isStreaming()) {
-            // A status can't be told any more; an answer that ends early must not look complete.
+            // The status has already been sent; an answer that ends early must not look
+            // complete.
             abort();
             return;
         }
@@ -78,10 +82,11 @@
     }
 
     /**
-     * Sends the head of a series of events.
+     * Sends the head of an event stream.
      *
-     * <p>Failure guarded against: on a connection that closes after the answer the library lets its
-     * end be that of the answer, and one that was cut off looks complete.
+     * <p>Sets the chunked encoding on HTTP/1.1. Without it, on a connection that closes after the
+     * answer, the library marks the end of the answer by the close alone, and an answer that was
+     * cut off looks complete.
      */
     void startEventStream(HttpHead head) {
         if (isEnded) {
@@ -112,13 +117,16 @@
         write();
     }
 
-    /** Ends a series of events as complete. */
+    /** Ends an event stream as complete. */
     void endEventStream() {
         isLastQueued = true;
         write();
     }
 
-    /** Closes the caller's connection, so that what was sent can't be taken for a whole answer. */
+    /**
+     * Closes the caller's connection, so that the caller does not take a partial answer for a
+     * complete one.
+     */
     void abort() {
         isEnded = true;
         IoUtils.safeClose(exchange.getConnection());
--- a/masticweir/src/main/java/org/masticweir/relay/CallerDisconnectDetector.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CallerDisconnectDetector.java
@@ -15,14 +15,14 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Notices that a caller has left while its request is under way; runs on the traffic thread.
+ * Detects that a caller has disconnected while its request is in flight; runs on the traffic
+ * thread.
  *
- * <p>Failure guarded against: a caller gives up, and its request goes on at a server for nobody.
- * The server library reads nothing from a connection whose request is being answered, so it hears
- * of the close only with its next write. Here the connection is read meanwhile. Bytes of a next
- * request are kept, up to a buffer, and given back to the library with the end of the watch. If
- * more come, they are dropped to see what lies behind them, and the connection ends with the
- * answer.
+ * <p>The server library does not read from a connection while its request is being answered, so it
+ * detects a close only at its next write, and a server would go on running the request for nobody.
+ * This class reads from the connection meanwhile. It stores bytes of a following request, up to one
+ * buffer, and returns them to the library when it stops. If more bytes arrive, it drops them, so
+ * that it can still see a close that follows them, and the connection is closed after the answer.
  */
 final class CallerDisconnectDetector {
     private static final Logger LOG = LogManager.getLogger(CallerDisconnectDetector.class);
@@ -34,7 +34,7 @@
     private HttpServerExchange exchange;
     private Runnable onDisconnect = NO_OP;
 
-    /** Bytes of a next request, ready to be added to. */
+    /** Bytes of a following request, in a buffer that is ready to be appended to. */
     private Optional<PooledByteBuffer> nextRequestBytes = Optional.empty();
 
     private boolean hasDroppedBytes;
@@ -43,12 +43,16 @@
         this.connection = connection;
     }
 
-    /** Has {@code left} run if the caller leaves; call once the whole request has been read. */
+    /**
+     * Runs {@code onDisconnect} if the caller disconnects; call this once the whole request has
+     * been read.
+     */
     static CallerDisconnectDetector start(HttpServerExchange exchange, Runnable onDisconnect) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
         CallerDisconnectDetector detector = connection.getAttachment(KEY);
         if (detector == null) {
-            // One for all requests of the connection, as close listeners can't be taken back.
+            // One instance for all requests of the connection, as close listeners can't be
+            // removed.
             CallerDisconnectDetector created = new CallerDisconnectDetector(connection);
             connection.putAttachment(KEY, created);
             connection.addCloseListener(c -> created.notifyListener());
@@ -69,7 +73,7 @@
         connection.getOriginalSourceConduit().resumeReads();
     }
 
-    /** Stops watching, before the answer ends. */
+    /** Stops the detection; call this before the answer ends. */
     void stop() {
         if (onDisconnect != NO_OP) {
             onDisconnect = NO_OP;
@@ -89,10 +93,11 @@
     }
 
     /**
-     * Looks whether the caller has left, and tells so before it returns.
+     * Checks whether the caller has disconnected, and runs the listener before it returns.
      *
-     * <p>Failure guarded against: a request lies unread while the thread is busy, its caller gives
-     * up, and the request is sent to a server before the close, which lies behind it, is seen.
+     * <p>Without this, a caller may give up while its request is unread because the thread is busy,
+     * and the request is sent to a server before the close, which follows it on the connection, is
+     * read.
      */
     void checkClosed() {
         if (onDisconnect == NO_OP) {
@@ -109,12 +114,12 @@
                 handleDisconnect();
             }
         } catch (IOException e) {
-            LOG.debug("relay: caller's connection broke, {}", e.getMessage());
+            LOG.debug("relay: connection of a caller failed, {}", e.getMessage());
             handleDisconnect();
         }
     }
 
-    /** Returns the buffer for bytes of a next request; drops those in it if it is full. */
+    /** Returns the buffer for bytes of a following request; drops its contents if it is full. */
     private ByteBuffer nextRequestBuffer() {
         if (nextRequestBytes.isEmpty()) {
             nextRequestBytes = Optional.of(connection.getByteBufferPool().allocate());
--- a/masticweir/src/main/java/org/masticweir/relay/CallersPort.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CallersPort.java
@@ -16,21 +16,26 @@
 import org.masticweir.time.Clock;
 
 /**
- * Opens the callers' port once the router knows its deployment; confined to the control thread.
+ * Opens the callers' port once the router has read its deployment; confined to the control thread.
  *
- * <p>Load that it answers: a router that has just started would refuse whoever connects in the
- * tenth of a second in which it reads the configuration, and callers come back once only. They wait
- * in the {@link StartupListener} instead, up to a bound: a router without a store must say so.
- * Together they raised what requests earn on days that end with the loss of all routers from 0.622
- * to 0.638 of what is owed, on ten days played before and after.
+ * <p>A router that has just started would refuse every request that arrives in the tenth of a
+ * second in which it reads the configuration, and callers retry only once. Their connections wait
+ * in the {@link StartupListener} instead, up to a limit, since a router without a store must answer
+ * that it has no configuration. On ten days on which all routers are lost, run before and after,
+ * both classes together raised what requests earn from 0.622 to 0.638 of the possible amount.
  */
 final class CallersPort implements AutoCloseable {
     private static final Logger LOG = LogManager.getLogger(CallersPort.class);
 
-    /** Longest wait for the deployment, in ms; callers give up what nobody reads for a second. */
+    /**
+     * Longest wait for the deployment, in ms; callers give up when their request is not read for a
+     * second.
+     */
     static final long MAX_STARTUP_WAIT_MS = 500;
 
-    /** Time between two looks, in ms; small beside what a caller waits already. */
+    /**
+     * Interval between two checks, in ms; small compared with the time that callers wait anyway.
+     */
     private static final long CHECK_INTERVAL_MS = 5;
 
     private final StartupListener listener;
@@ -63,7 +68,7 @@
         control.execute(this::checkReady);
     }
 
-    /** Completes when the router itself takes connections at the port. */
+    /** Returns a future that completes when the router itself accepts connections at the port. */
     CompletableFuture<Void> opened() {
         return opened.copy();
     }
@@ -86,7 +91,7 @@
                 earlyConnections = Optional.of(EarlyConnectionProxy.start(waiting, address));
             }
         } catch (IOException e) {
-            LOG.error("router: connections made while it started are lost", e);
+            LOG.error("router: connections accepted during the start are lost", e);
             ports.openCallers();
             opened.complete(null);
         }
@@ -100,7 +105,7 @@
                 earlyConnections.get().close();
             }
         } catch (IOException e) {
-            LOG.warn("router: the callers' port is not closed well, {}", e.getMessage());
+            LOG.warn("router: failed to close the callers' port, {}", e.getMessage());
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/ContentDigest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ContentDigest.java
@@ -12,10 +12,10 @@
 /**
  * Computes the content id of a request. Stateless and thread-safe.
  *
- * <p>The team is part of it, so that no caller can make the work of another team look like its own.
- * The hash is one for which no two inputs with the same value can be made. Request id, deadline and
- * the last event that the caller has differ between submissions of the same work and are left out;
- * so is the port at which a router was called.
+ * <p>The content id includes the team, so that no caller can make the work of another team look
+ * like its own. The hash is collision-resistant. Request id, deadline and the last event that the
+ * caller has differ between submissions of the same work and are left out; so is the port at which
+ * a router was called.
  */
 final class ContentDigest {
     private static final int ID_BYTES = 16;
@@ -33,7 +33,10 @@
         return ContentId.of(HashCode.fromBytes(Arrays.copyOf(digest, ID_BYTES)).toString());
     }
 
-    /** The length goes first, so that the end of one part can't pass for the start of the next. */
+    /**
+     * Prefixes each part with its length, so that the end of one part can't be read as the start of
+     * the next.
+     */
     private static void put(Hasher hasher, String part) {
         byte[] bytes = part.getBytes(UTF_8);
         hasher.putInt(bytes.length).putBytes(bytes);
--- a/masticweir/src/main/java/org/masticweir/relay/ContentTrial.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ContentTrial.java
@@ -12,9 +12,10 @@
 import org.masticweir.quarantine.SendRule;
 
 /**
- * What the sends of one request show of its content; on the traffic thread.
+ * Observes how the sends of one request end, and reports it to the quarantine as evidence about the
+ * request's content; runs on the traffic thread.
  *
- * <p>Its content id is worked out when it is first needed, which for most requests is never.
+ * <p>The content id is computed when it is first needed, which for most requests is never.
  */
 final class ContentTrial {
     private final RelayContext context;
@@ -33,7 +34,7 @@
         return content.get();
     }
 
-    /** Returns the gate that each send of the request passes. */
+    /** Returns the policy that is checked before each send of the request. */
     ContentPolicy policy() {
         return new ContentPolicy() {
             @Override
@@ -48,7 +49,10 @@
         };
     }
 
-    /** Returns how many events the send under way has brought, or the last one did. */
+    /**
+     * Returns the number of events of the current send, or of the last one if no send is in
+     * progress.
+     */
     int eventCount() {
         return eventCount;
     }
@@ -70,7 +74,7 @@
         }
     }
 
-    /** The whole answer came. */
+    /** Records that the complete answer arrived. */
     void recordAnswer() {
         context.quarantine().recordSuccess(content);
     }
@@ -83,10 +87,11 @@
     }
 
     /**
-     * The server of a send was lost. One that ends long after a request began did not end because
-     * of it, nor did one that was to leave, or that had left the list before.
+     * Records that the server of a send was lost. The loss is not attributed to the content if the
+     * request had run for long, if the server was leaving, or if it had been removed from the
+     * server list before.
      *
-     * @param broke whether it broke the connection
+     * @param broke whether the server broke the connection
      */
     void recordLoss(BackendServer server, long sentMs, boolean broke, long nowMs) {
         RelayView view = context.view().get();
@@ -99,7 +104,10 @@
         }
     }
 
-    /** Returns whether the server of the send has run the request for less than a trial lasts. */
+    /**
+     * Returns whether the server of the send has run the request for less than the duration of a
+     * trial.
+     */
     boolean hasJustBegun(long nowMs) {
         return eventCount == 0 || nowMs - firstEventMs < Quarantine.TRIAL_MS;
     }
--- a/masticweir/src/main/java/org/masticweir/relay/DrainingAdmission.java
+++ b/masticweir/src/main/java/org/masticweir/relay/DrainingAdmission.java
@@ -6,26 +6,33 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Counts the requests under way, and decides which ones a router that leaves still takes;
+ * Admission control of a router during its shutdown, with the count of requests in flight;
  * thread-safe.
  *
- * <p>Failure that it answers: the balancer goes on sending for seconds after the order to leave,
- * and to the end where a domain has hardly another router. A request taken too late is cut off in
- * its middle when the process has to end. It is refused instead, while it has not run and its
- * caller has time to go elsewhere.
+ * <p>The balancer goes on sending requests for seconds after the shutdown request, and until the
+ * process exits if a domain has hardly any other router. A request that is admitted too late is cut
+ * off when the process has to exit. It is refused instead, while it has not run and its caller
+ * still has time to go to another router.
  */
 final class DrainingAdmission {
-    /** Time in which the balancer notices, in ms: two of its questions, a second apart, and one. */
+    /**
+     * Time after which the balancer has detected the shutdown, in ms: two of its checks, a second
+     * apart, and one more.
+     */
     static final long BALANCER_DETECTION_MS = 3_000;
 
     /**
-     * Time after the order in which streams are taken, in ms. Nothing bounds the length of a
-     * stream: one that should end in time may wait at its engine. A part of the balancer's time is
-     * kept for an order that is heard late.
+     * Time after the shutdown request during which streams are admitted, in ms. The length of a
+     * stream has no upper limit, since even one that is expected to end in time may be queued at
+     * its engine. It is shorter than the balancer's time to allow for a shutdown request that
+     * arrives late.
      */
     static final long STREAM_ADMISSION_MS = BALANCER_DETECTION_MS - 200;
 
-    /** Least time after which a refused caller may come back, in ms: here it has no chance. */
+    /**
+     * Shortest retry delay for a refused caller, in ms: an earlier retry at this router can't
+     * succeed.
+     */
     private static final long MIN_RETRY_MS = 200;
 
     private final AtomicInteger inFlightCount = new AtomicInteger();
@@ -47,17 +54,21 @@
     }
 
     /**
-     * The router leaves: it was told to at {@code sinceMs}, and its requests end at {@code untilMs}
-     * at the latest.
+     * Starts the shutdown, which was requested at {@code sinceMs}; requests must end by {@code
+     * untilMs}.
      */
     void startDraining(long sinceMs, long untilMs) {
-        checkArgument(untilMs >= sinceMs, "leaves until %s, before %s", untilMs, sinceMs);
+        checkArgument(
+                untilMs >= sinceMs,
+                "draining ends at %s, before its start at %s",
+                untilMs,
+                sinceMs);
         startedMs = sinceMs;
         endsMs = untilMs;
         isDraining = true;
     }
 
-    /** Takes nothing more; what is under way goes on. */
+    /** Refuses all further requests; those in flight continue. */
     void close() {
         isClosed = true;
     }
@@ -66,7 +77,7 @@
         return isDraining;
     }
 
-    /** Returns whether a request that ends within {@code timeoutMs} is taken. */
+    /** Returns whether a request that ends within {@code timeoutMs} is admitted. */
     boolean admits(long timeoutMs, long nowMs) {
         if (isClosed || !isDraining) {
             return !isClosed;
@@ -75,9 +86,9 @@
     }
 
     /**
-     * Returns whether a stream is taken.
+     * Returns whether a stream is admitted.
      *
-     * @param expectedMs time in which it should end; empty if that is not known
+     * @param expectedMs expected duration of the stream; empty if unknown
      */
     boolean admitsStream(OptionalLong expectedMs, long nowMs) {
         if (isClosed || !isDraining) {
@@ -88,7 +99,7 @@
                 && nowMs + expectedMs.getAsLong() <= endsMs;
     }
 
-    /** Returns the time since the order to leave, in ms. */
+    /** Returns the time since the shutdown request, in ms. */
     long drainingForMs(long nowMs) {
         return nowMs - startedMs;
     }
@@ -98,7 +109,7 @@
         return endsMs - nowMs;
     }
 
-    /** Returns the time until the balancer sends nothing more here, in ms. */
+    /** Returns the time until the balancer no longer sends requests to this router, in ms. */
     long balancerDetectionLeftMs(long nowMs) {
         return Math.max(MIN_RETRY_MS, startedMs + BALANCER_DETECTION_MS - nowMs);
     }
--- a/masticweir/src/main/java/org/masticweir/relay/EarlyConnectionProxy.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EarlyConnectionProxy.java
@@ -16,24 +16,26 @@
 import org.xnio.IoUtils;
 
 /**
- * Passes the bytes of connections that were made before the router listened on to its port, and
- * back, until either end closes; on a thread of its own that ends with the last of them.
+ * Forwards bytes in both directions between the router and the connections that callers made before
+ * the router listened on its port, until either end closes. It runs on its own thread, which ends
+ * with the last connection.
  *
- * <p>The I/O library opens its own sockets and takes over none. Only the connections of one start
- * come this way, some dozens; a copy of their bytes costs less than what their callers would lose.
+ * <p>The I/O library opens its own sockets and can't adopt existing ones. Only the connections made
+ * during one start are forwarded, some dozens; copying their bytes costs less than their callers
+ * would lose.
  */
 final class EarlyConnectionProxy implements AutoCloseable {
     private static final Logger LOG = LogManager.getLogger(EarlyConnectionProxy.class);
 
-    /** Bytes on their way in one direction of one connection; an event has less than a tenth. */
+    /** Buffer size for one direction of one connection; an event has less than a tenth of it. */
     private static final int BUFFER_BYTES = 8 << 10;
 
     private final Selector selector;
     private final InetSocketAddress router;
 
     /**
-     * Pairs that are not closed; belongs to the thread. The selector's own keys don't tell: a
-     * closed one stays among them until the next selection, which may wait for ever.
+     * Number of pairs that are not closed; confined to the thread. The selector's key set can't be
+     * used for this: a closed key stays in it until the next selection, which may wait forever.
      */
     private int openPairs;
 
@@ -42,7 +44,7 @@
         this.router = router;
     }
 
-    /** Starts passing on what {@code callers} send to the router that listens at {@code router}. */
+    /** Starts to forward between {@code callers} and the router that listens at {@code router}. */
     static EarlyConnectionProxy start(List<SocketChannel> callers, InetSocketAddress router) {
         checkNotNull(router, "router");
         try {
@@ -53,7 +55,7 @@
             thread.start();
             return proxy;
         } catch (IOException e) {
-            throw new UncheckedIOException("early connections cannot be passed on", e);
+            throw new UncheckedIOException("cannot forward early connections", e);
         }
     }
 
@@ -70,9 +72,9 @@
             }
             selector.close();
         } catch (ClosedSelectorException e) {
-            LOG.debug("router: early connections end with it");
+            LOG.debug("router: early connections closed at router shutdown");
         } catch (IOException e) {
-            LOG.warn("router: early connections are lost, {}", e.getMessage());
+            LOG.warn("router: early connections lost, {}", e.getMessage());
         }
     }
 
@@ -87,12 +89,12 @@
                 pair.connect();
             }
         } catch (IOException e) {
-            LOG.info("router: an early connection is lost, {}", e.getMessage());
+            LOG.info("router: early connection lost, {}", e.getMessage());
             pair.close();
         }
     }
 
-    /** A caller's connection and the one to the router that goes with it. */
+    /** A caller's connection and the corresponding connection to the router. */
     private final class Pair {
         private final SocketChannel caller;
         private final ByteBuffer toRouter = ByteBuffer.allocate(BUFFER_BYTES);
@@ -107,10 +109,10 @@
         }
 
         /**
-         * Reads what the caller has sent; returns whether it has closed since.
+         * Reads what the caller has sent; returns whether the caller has closed its connection.
          *
-         * <p>Failure guarded against: a caller gives up because nobody reads its request, and the
-         * request runs all the same.
+         * <p>Without this check, the request of a caller that has given up because nobody read it
+         * would still run.
          */
         boolean readCaller() throws IOException {
             while (toRouter.hasRemaining()) {
@@ -131,10 +133,11 @@
         }
 
         /**
-         * Moves what can be moved now, and waits for more.
+         * Forwards the bytes that can be read and written now, and sets the operations to wait for.
          *
-         * <p>A caller's last bytes are passed on only once nothing was found behind them: a close
-         * that is read along with them ends the pair, and the router gets no whole request.
+         * <p>The last bytes of a caller are forwarded only after a read has found nothing after
+         * them. If a close is read together with them, the pair is closed, and the router does not
+         * receive a complete request.
          */
         void forwardBytes() {
             try {
@@ -152,7 +155,7 @@
                 callerKey.interestOps(interest(toRouter, toCaller));
                 routerKey.interestOps(interest(toCaller, toRouter));
             } catch (IOException e) {
-                LOG.debug("router: an early connection ends, {}", e.getMessage());
+                LOG.debug("router: early connection closed, {}", e.getMessage());
                 close();
             }
         }
@@ -163,7 +166,10 @@
             buffer.compact();
         }
 
-        /** A channel is read while its buffer has room and written while the other holds bytes. */
+        /**
+         * Reads a channel while its buffer has space, and writes to it while the other buffer has
+         * bytes.
+         */
         private int interest(ByteBuffer read, ByteBuffer written) {
             int reads = read.hasRemaining() ? SelectionKey.OP_READ : 0;
             int writes = written.position() > 0 ? SelectionKey.OP_WRITE : 0;
--- a/masticweir/src/main/java/org/masticweir/relay/EngineStatusProbe.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EngineStatusProbe.java
@@ -9,21 +9,24 @@
 import org.masticweir.http.HttpOutcome;
 
 /**
- * Asks an engine that has not begun a request in time what it is doing; on the traffic thread.
+ * Probes an engine that has not started a request in time; runs on the traffic thread.
  *
- * <p>Failure guarded against: an engine goes dark while it reads a prompt, or drops the request
- * without a sign. It is silent while it reads in any case, so silence says nothing, and waiting for
- * the longest reading time would cost the goal. A living engine answers this call at once.
+ * <p>An engine is silent during the prefill of a prompt, so its silence alone does not show whether
+ * it failed or dropped the request. Waiting for the longest possible prefill would miss the time
+ * goal of the request. An engine that is alive answers this call at once.
  */
 final class EngineStatusProbe {
     private static final Logger LOG = LogManager.getLogger(EngineStatusProbe.class);
 
-    /** Time for the answer, in ms: a way there and back and a busy engine's turn. */
+    /** Timeout of the call, in ms: one round trip and the response time of a busy engine. */
     private static final long TIMEOUT_MS = 300;
 
     private EngineStatusProbe() {}
 
-    /** Tells {@code then}, once, what {@code engine} says; nothing if it is gone or silent. */
+    /**
+     * Calls {@code callback} once with the report of {@code engine}, or with nothing if the engine
+     * is gone or does not respond.
+     */
     static void probe(
             RelayContext context, BackendServer engine, Consumer<Optional<EngineReport>> callback) {
         context.limits().recordProbe(engine.incarnation());
@@ -41,7 +44,7 @@
             try {
                 return Optional.of(protocol.parseEngineReport(answered.answer().text()));
             } catch (IllegalArgumentException e) {
-                LOG.warn("relay: an engine's report is not understood, {}", e.getMessage());
+                LOG.warn("relay: malformed engine report, {}", e.getMessage());
             }
         }
         return Optional.empty();
--- a/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
@@ -10,8 +10,8 @@
 import org.masticweir.http.HttpHead;
 
 /**
- * Passes the events of one stream on to its caller, each once, whichever server they come from; on
- * the traffic thread.
+ * Forwards the events of one stream to its caller, each exactly once, whichever server sends them;
+ * runs on the traffic thread.
  */
 final class EventRelay {
     private final RelayContext context;
@@ -40,12 +40,15 @@
         this.log = checkNotNull(log, "log");
     }
 
-    /** The server of the events so far is lost; the next one comes from another. */
+    /**
+     * Records that the server of the events so far was lost; the next event comes from another
+     * server.
+     */
     void handleServerLoss() {
         isResuming = answer.isStreaming();
     }
 
-    /** Passes on an event of {@code server}, unless the caller has it. */
+    /** Forwards an event of {@code server}, unless the caller already has it. */
     void forward(
             BackendServer server, HttpHead head, ByteBuffer bytes, OptionalLong id, long nowMs) {
         if (callerHas(id)) {
@@ -65,12 +68,14 @@
         answer.sendEvent(bytes);
     }
 
-    /** The last event has come; what is left to do is to end the answer. */
+    /**
+     * Handles the end of the events of a server; the caller of this method then ends the answer.
+     */
     void handleEnd(HttpHead head, long nowMs) {
         if (answer.isStreaming()) {
             context.durations().observe(plan.size(), firstMs - plan.receivedMs(), nowMs - firstMs);
         } else {
-            // A caller that has all events gets none, and the end.
+            // If the caller already has all events, the answer has a head and an end only.
             startEventStream(head);
         }
     }
--- a/masticweir/src/main/java/org/masticweir/relay/EventSplitter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EventSplitter.java
@@ -7,13 +7,14 @@
 import java.util.OptionalLong;
 
 /**
- * Cuts a stream of server-sent events at their ends and reads their ids; not thread-safe.
+ * Splits a stream of server-sent events into single events and parses their ids; not thread-safe.
  *
- * <p>Failure guarded against: a server breaks off in the middle of an event, and another goes on
- * after the last whole one. Only whole events leave here, byte for byte, so the cut never shows.
+ * <p>A server may fail in the middle of an event, and another server continues after the last
+ * complete event. Only complete events are passed on, byte for byte, so that callers never receive
+ * a part of an event.
  */
 final class EventSplitter {
-    /** Longest event kept, so that a broken server can't fill the memory. */
+    /** Longest event that is buffered, so that a faulty server can't exhaust the memory. */
     static final int MAX_EVENT_BYTES = 1 << 20;
 
     private static final int INITIAL_BUFFER_BYTES = 512;
@@ -24,11 +25,11 @@
     private int lineStart;
     private OptionalLong id = OptionalLong.empty();
 
-    /** Hears of one whole event. */
+    /** Receives complete events. */
     @FunctionalInterface
     interface Sink {
         /**
-         * An event ended.
+         * Handles one event.
          *
          * @param bytes the event with the empty line at its end
          * @param id its id, if it has one that is a number
@@ -36,7 +37,7 @@
         void onEvent(ByteBuffer bytes, OptionalLong id) throws IOException;
     }
 
-    /** Takes all of {@code in} and gives the events that end in it to {@code sink}. */
+    /** Consumes all of {@code in} and passes the events that end in it to {@code sink}. */
     void feed(ByteBuffer in, Sink sink) throws IOException {
         while (in.hasRemaining()) {
             byte b = in.get();
@@ -47,7 +48,7 @@
         }
     }
 
-    /** Returns whether nothing is left of an event that has not ended. */
+    /** Returns whether no incomplete event is buffered. */
     boolean isAtEventEnd() {
         return length == 0;
     }
@@ -91,7 +92,8 @@
         try {
             id = OptionalLong.of(Long.parseLong(text));
         } catch (NumberFormatException e) {
-            // An id that is no number can't be resumed after; the event passes as it is.
+            // A stream can't be resumed after an id that is not a number; the event is passed on
+            // unchanged.
             id = OptionalLong.empty();
         }
     }
--- a/masticweir/src/main/java/org/masticweir/relay/ExchangeCompletion.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ExchangeCompletion.java
@@ -7,11 +7,11 @@
 import io.undertow.util.AttachmentKey;
 
 /**
- * Tells when an exchange is over: the last byte of its answer is written, or its connection is
- * closed; on the traffic thread.
+ * Notifies a listener when an exchange is complete: the last byte of its answer has been written,
+ * or its connection has been closed; runs on the traffic thread.
  *
- * <p>Failure guarded against: an answer counts as given while a part of it still waits for a slow
- * caller, and the process ends over it.
+ * <p>Without this, an answer counts as delivered while a part of it is still queued for a slow
+ * caller, and the process exits before that part is sent.
  */
 final class ExchangeCompletion {
     private static final AttachmentKey<ExchangeCompletion> KEY =
@@ -23,7 +23,8 @@
     private ExchangeCompletion() {}
 
     /**
-     * Has {@code ended} run once when {@code exchange} is over, and keeps {@code kept} up to date.
+     * Runs {@code listener} once when {@code exchange} is complete, and keeps {@code connections}
+     * up to date.
      */
     static void addListener(
             HttpServerExchange exchange, KeepAliveConnections connections, Runnable listener) {
@@ -43,7 +44,7 @@
                 });
     }
 
-    /** One for all exchanges of a connection, as close listeners can't be taken back. */
+    /** One instance for all exchanges of a connection, as close listeners can't be removed. */
     private static ExchangeCompletion of(
             ServerConnection connection, KeepAliveConnections connections) {
         ExchangeCompletion known = connection.getAttachment(KEY);
--- a/masticweir/src/main/java/org/masticweir/relay/HedgedPeerRequest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/HedgedPeerRequest.java
@@ -14,21 +14,24 @@
 import org.masticweir.time.Clock;
 
 /**
- * Asks peers for one thing that any of them may give; owned by the control thread.
+ * Sends hedged requests to peers for a reply that any of them can give; owned by the control
+ * thread.
  *
- * <p>Failure guarded against: a reply is long and its link thin. If it were dropped when it comes
- * late and asked for anew, its sender would be kept busy with replies that nobody takes, and none
- * would ever come in time. So a reply counts whenever it comes, a peer is not asked again before it
- * has replied, and another one is asked as well after a while.
+ * <p>A reply may be long and its link slow. If a late reply were dropped and requested again, its
+ * sender would be busy with replies that nobody uses, and none would arrive in time. So a reply
+ * counts whenever it arrives, a peer is not asked again before it has replied, and a second peer is
+ * asked after a delay.
  */
 final class HedgedPeerRequest {
-    /** Time without a reply after which another peer is asked as well, in ms. */
+    /** Time without a reply after which a second peer is asked, in ms. */
     static final long HEDGE_DELAY_MS = 800;
 
-    /** Time after which a peer that is silent may be asked again, in ms. */
+    /** Time after which a peer that has not replied may be asked again, in ms. */
     static final long TIMEOUT_MS = 5_000;
 
-    /** Peers asked at a time: a third would slow down the replies of the two. */
+    /**
+     * Limit on concurrently asked peers: a third one would slow down the replies of the other two.
+     */
     private static final int MAX_ASKED_PEERS = 2;
 
     private final PeerSender links;
@@ -44,9 +47,9 @@
     }
 
     /**
-     * Asks {@code peer}, unless it has yet to reply or another was asked a moment ago.
+     * Asks {@code peer}, unless it has not replied yet or another peer was asked a moment ago.
      *
-     * @param callback takes the reply, or nothing if none will come
+     * @param callback receives the reply, or nothing if none will arrive
      */
     void ask(RouterId peer, PeerMessage question, Consumer<Optional<PeerMessage>> callback) {
         long now = clock.nowMs();
--- a/masticweir/src/main/java/org/masticweir/relay/InFlightRequests.java
+++ b/masticweir/src/main/java/org/masticweir/relay/InFlightRequests.java
@@ -10,25 +10,28 @@
 import org.masticweir.quarantine.SharedQuarantine;
 
 /**
- * The requests of a router that are under way, and what a change of the quarantine means for them;
- * owned by the traffic thread.
+ * The requests of a router that are in flight, and the effect of quarantine changes on them; owned
+ * by the traffic thread.
  */
 final class InFlightRequests {
     private final SharedQuarantine quarantine;
     private final Set<Request> requests = new LinkedHashSet<>();
     private boolean isEnded;
 
-    /** A request under way. */
+    /** A request in flight. */
     interface Request {
         ContentId content();
 
-        /** Returns whether its server has run it for longer than a trial lasts. */
+        /** Returns whether its server has run it for longer than the duration of a trial. */
         boolean runsLongerThanTrial();
 
-        /** Its content was put into quarantine. */
+        /** Notifies the request that its content was quarantined. */
         void onQuarantined();
 
-        /** The router's process ends: the request is answered now, whatever it has come to. */
+        /**
+         * Notifies the request that the router's process exits; it must be answered now, whatever
+         * its state.
+         */
         void onRouterExit();
     }
 
@@ -47,15 +50,16 @@
         requests.remove(request);
     }
 
-    /** Ends all of them, and each one that comes later, with an answer of its own. */
+    /** Ends all requests in flight, and each later one when it is added; each gets an answer. */
     void endAll() {
         isEnded = true;
         ImmutableList.copyOf(requests).forEach(Request::onRouterExit);
     }
 
     /**
-     * Copies of a suspect content that run on speak for it. Copies of a quarantined one that have
-     * just begun would end their servers too.
+     * Applies a change of the quarantine to the requests with {@code content}. A copy of a suspect
+     * content that runs on is evidence for it. Copies of a quarantined content that have just
+     * started would end their servers too, so they are cancelled.
      */
     void onQuarantineChange(ContentId content, Change change) {
         ImmutableList<Request> copies =
--- a/masticweir/src/main/java/org/masticweir/relay/KeepAliveConnections.java
+++ b/masticweir/src/main/java/org/masticweir/relay/KeepAliveConnections.java
@@ -9,11 +9,11 @@
 import org.xnio.IoUtils;
 
 /**
- * Callers' connections that are kept open for a next request; owned by the traffic thread.
+ * Callers' keep-alive connections; owned by the traffic thread.
  *
- * <p>Load that it answers: a router leaves, the balancer sends it no new connections any more, and
- * callers go on using those that they have. A request that is refused there costs its caller a
- * retry; one that finds its connection closed goes to another router.
+ * <p>When a router shuts down, the balancer sends it no new connections, but callers go on using
+ * their existing ones. A request that is refused on such a connection costs its caller a retry; a
+ * caller that finds its connection closed goes to another router instead.
  */
 final class KeepAliveConnections {
     private static final Logger LOG = LogManager.getLogger(KeepAliveConnections.class);
@@ -21,17 +21,20 @@
     private final Set<ServerConnection> exchangeCompleted = new LinkedHashSet<>();
     private boolean isClosing;
 
-    /** An exchange of {@code connection} begins. */
+    /** Records that an exchange of {@code connection} begins. */
     void exchangeStarted(ServerConnection connection) {
         exchangeCompleted.remove(connection);
     }
 
-    /** An exchange of {@code connection} is over, and its connection is open. */
+    /** Records that an exchange of {@code connection} is complete and the connection is open. */
     void exchangeCompleted(ServerConnection connection) {
         exchangeCompleted.add(connection);
     }
 
-    /** The server library has ended an exchange: the connection may be closed now. */
+    /**
+     * Notifies this that the server library has finished an exchange, so that its connection may be
+     * closed now.
+     */
     void exchangeReleased() {
         if (isClosing) {
             closeIdle();
@@ -42,7 +45,7 @@
         exchangeCompleted.remove(connection);
     }
 
-    /** Closes what is idle, and from now on each connection after its exchange. */
+    /** Closes all idle connections now, and each other connection after its exchange. */
     void closeAll() {
         LOG.info("router: {} idle connections of callers are closed", exchangeCompleted.size());
         isClosing = true;
--- a/masticweir/src/main/java/org/masticweir/relay/LossInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LossInquiry.java
@@ -19,18 +19,19 @@
 import org.masticweir.time.Clock;
 
 /**
- * Finds out whether a lost send speaks against its content; owned by the traffic thread.
+ * Decides whether the loss of a server is attributed to the content that it ran; owned by the
+ * traffic thread.
  *
- * <p>It does only if its server is shown to have ended: it takes no connection right after it broke
- * one, another life has its address, or its entry lapses.
+ * <p>The loss is attributed only if the server is shown to have ended: it refuses connections right
+ * after it broke one, another incarnation has its address, or its entry lapses.
  */
 final class LossInquiry {
     private static final Logger LOG = LogManager.getLogger(LossInquiry.class);
 
-    /** How long the entry of a silent server is watched, in ms: three heartbeats and more. */
+    /** How long the entry of a silent server is watched, in ms: more than three heartbeats. */
     private static final long WATCH_MS = 10_000;
 
-    /** Servers at which losses wait for an entry to lapse. */
+    /** Limit on the number of silent servers whose entries are watched. */
     private static final int MAX_SILENT_SERVERS = 1_024;
 
     private final SharedQuarantine quarantine;
@@ -38,7 +39,7 @@
     private final Clock clock;
     private final Map<ServerIncarnation, SilentServer> silentServers = new HashMap<>();
 
-    /** A server that fell silent, and the losses of the contents that it had begun to run. */
+    /** A server that became silent, and one loss for each content that it had started to run. */
     private static final class SilentServer {
         private final Map<ContentId, Loss> losses = new HashMap<>();
         private long untilMs;
@@ -51,9 +52,10 @@
     }
 
     /**
-     * {@code server} was lost while it began to run a request that was sent at {@code sentMs}.
+     * Handles the loss of {@code server}, which had just started to run a request that was sent at
+     * {@code sentMs}.
      *
-     * @param broke whether it broke the connection, so that it was reached a moment ago
+     * @param broke whether it broke the connection, so that it was reachable a moment ago
      */
     void handleLoss(
             ContentId content,
@@ -63,7 +65,8 @@
             Optional<Catalog> catalog) {
         Loss loss = new Loss(server.incarnation(), sentMs, clock.nowMs());
         if (broke) {
-            // The answer comes within milliseconds; a silent server would hold the request up.
+            // The probe ends within milliseconds here; the probe of a silent server would delay
+            // the request.
             quarantine.beginInquiry(content);
         }
         probe.probe(server, catalog, result -> handleProbeResult(content, loss, broke, result));
@@ -100,7 +103,7 @@
         }
     }
 
-    /** The list of servers has changed; those that fell silent and are not in it have ended. */
+    /** Updates the list of servers; silent servers that are missing from it have ended. */
     void updateListed(Set<ServerIncarnation> present) {
         long now = clock.nowMs();
         Iterator<Map.Entry<ServerIncarnation, SilentServer>> each =
@@ -112,7 +115,7 @@
                 each.remove();
             } else if (!present.contains(entry.getKey())) {
                 each.remove();
-                String cause = entry.getKey() + " lapsed under it";
+                String cause = entry.getKey() + "'s entry lapsed while it ran the content";
                 server.losses.forEach(
                         (content, loss) -> quarantine.recordLoss(content, loss, cause));
             }
--- a/masticweir/src/main/java/org/masticweir/relay/PlatformProtocol.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PlatformProtocol.java
@@ -8,55 +8,61 @@
 import org.masticweir.http.HttpHeaders;
 import org.masticweir.id.PromptId;
 
-/** The header fields of one platform's requests and answers; stateless and thread-safe. */
+/**
+ * The HTTP protocol of one platform: header fields, paths and bodies; stateless and thread-safe.
+ */
 public interface PlatformProtocol {
     /**
-     * Reads a caller's request.
+     * Parses the header fields of a caller's request.
      *
      * @throws IllegalArgumentException if a field is malformed
      */
     RequestMetadata parseRequestMetadata(HttpHeaders headers);
 
-    /** Returns the fields of a request on its way to a server. */
+    /** Returns the header fields of a request to a server. */
     HttpHeaders headersToServer(HttpHeaders fromCaller, SendMetadata send);
 
-    /** Reads a server's answer. */
+    /** Parses the head of a server's answer. */
     AnswerMetadata parseAnswerMetadata(HttpHead head);
 
-    /** Returns the fields of an answer on its way to the caller. */
+    /** Returns the header fields of an answer to a caller. */
     HttpHeaders headersToCaller(HttpHeaders fromServer);
 
     /**
-     * Returns a call that a living engine answers at once, whatever its load, and that another life
-     * at its address does not answer with success.
+     * Returns a call that an engine that is alive answers at once under any load. Another
+     * incarnation at the same address does not answer it with success.
      */
     HttpCall engineProbeCall(BackendServer engine);
 
     /**
-     * Returns a call to a plain server's {@code path} that no other life at its address accepts.
+     * Returns a call to {@code path} of a server that is no engine. Another incarnation at the same
+     * address does not accept it.
      */
     HttpCall healthProbeCall(BackendServer server, String path);
 
-    /** Returns whether an answer comes from another server than the one that was meant. */
+    /** Returns whether a status shows that another server than the intended one answered. */
     boolean isWrongServerStatus(int status);
 
     /**
-     * Reads the answer to an {@link #engineProbeCall}.
+     * Parses the answer to an {@link #engineProbeCall}.
      *
      * @throws IllegalArgumentException if it is malformed
      */
     EngineReport parseEngineReport(String body);
 
-    /** Returns a call that asks an engine which prompts it keeps in its memory. */
+    /** Returns a call for the prompts that an engine has in its cache. */
     HttpCall promptsCall(BackendServer engine);
 
     /**
-     * Reads the answer to a {@link #promptsCall}.
+     * Parses the answer to a {@link #promptsCall}.
      *
      * @throws IllegalArgumentException if it is malformed
      */
     ImmutableSet<PromptId> parsePrompts(String body);
 
-    /** Returns the path at which the balancer asks whether this router takes connections. */
+    /**
+     * Returns the path of the balancer's readiness check, which asks whether this router accepts
+     * connections.
+     */
     String readyPath();
 }
--- a/masticweir/src/main/java/org/masticweir/relay/PromptCacheClient.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptCacheClient.java
@@ -16,21 +16,21 @@
 import org.masticweir.time.Clock;
 
 /**
- * Which prompts engines keep, by their own word; owned by the traffic thread.
+ * Asks engines which prompts they have in their cache; owned by the traffic thread.
  *
- * <p>Load that it answers: a router that has just started hears of a dozen streams at one moment,
- * and asks two dozen engines for each. One answer of an engine serves all that ask within a moment.
+ * <p>A router that has just started receives a dozen streams at once, and asks two dozen engines
+ * for each. One answer of an engine is therefore shared by all queries within a short time.
  */
 final class PromptCacheClient {
     private static final Logger LOG = LogManager.getLogger(PromptCacheClient.class);
 
     /**
-     * Time for an answer, in ms, for a router whose code is still cold: a third of what reading a
-     * long prompt takes. A caller that came back has had a longer pause already.
+     * Timeout of a query, in ms, long enough for a router whose code is not compiled yet: a third
+     * of the prefill of a long prompt. A caller that came back has already had a longer pause.
      */
     static final long TIMEOUT_MS = 300;
 
-    /** How long an answer serves others that ask, in ms; prompts are kept for seconds. */
+    /** How long an answer is reused for other queries, in ms; engines cache prompts for seconds. */
     private static final long REUSE_MS = 300;
 
     private final HttpCaller calls;
@@ -39,7 +39,7 @@
     private final Clock clock;
     private final Map<ServerIncarnation, Query> queries = new HashMap<>();
 
-    /** One question to an engine. */
+    /** One query to an engine. */
     private record Query(long atMs, CompletableFuture<ImmutableSet<PromptId>> answer) {}
 
     PromptCacheClient(
@@ -53,7 +53,9 @@
         this.clock = checkNotNull(clock, "clock");
     }
 
-    /** Returns what {@code engine} keeps; nothing if it does not answer in time. */
+    /**
+     * Returns the prompts that {@code engine} caches; an empty set if it does not answer in time.
+     */
     CompletableFuture<ImmutableSet<PromptId>> cachedPrompts(BackendServer engine) {
         long now = clock.nowMs();
         queries.values().removeIf(a -> now - a.atMs() > REUSE_MS);
@@ -76,7 +78,7 @@
             try {
                 return protocol.parsePrompts(answered.answer().text());
             } catch (IllegalArgumentException e) {
-                LOG.warn("relay: a list of prompts is not understood, {}", e.getMessage());
+                LOG.warn("relay: malformed list of cached prompts, {}", e.getMessage());
             }
         }
         return ImmutableSet.of();
--- a/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
@@ -10,7 +10,8 @@
 import org.masticweir.id.PromptId;
 
 /**
- * Asks engines which of them keeps a prompt, and takes the first that does; on the traffic thread.
+ * Asks engines in parallel whether they cache a prompt, and returns the first that does; runs on
+ * the traffic thread.
  */
 final class PromptSearch {
     private final PromptId prompt;
@@ -25,7 +26,10 @@
         pendingAnswers = askedCount;
     }
 
-    /** Tells {@code then}, once, which of {@code engines} keeps {@code prompt}; nothing if none. */
+    /**
+     * Calls {@code callback} once with the first of {@code engines} that is found to cache {@code
+     * prompt}, or with nothing if none does.
+     */
     static void start(
             ImmutableList<BackendServer> engines,
             PromptCacheClient client,
--- a/masticweir/src/main/java/org/masticweir/relay/RelayContext.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayContext.java
@@ -17,13 +17,13 @@
 import org.xnio.XnioIoThread;
 
 /**
- * What all requests of a router share; all of it belongs to the traffic thread.
+ * Dependencies that all requests of a router share; owned by the traffic thread.
  *
- * @param sharedRetries asks for what {@code repeats} does not allow by itself
- * @param limits what servers limit, and permits for it
- * @param answerMetadata takes what servers say in their answers
- * @param connectTimeoutMs time for a connection to a server
- * @param loadsChanged runs after this router's use of servers has changed
+ * @param sharedRetries requests permits for retries that {@code retries} does not allow by itself
+ * @param limits rate limits that servers announce, and permits under them
+ * @param answerMetadata records what servers announce in their answers
+ * @param connectTimeoutMs timeout for a connection to a server
+ * @param loadsChanged runs after this router's load on servers has changed
  */
 record RelayContext(
         Clock clock,
--- a/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
@@ -22,11 +22,14 @@
 import org.masticweir.http.HttpHeaders;
 import org.masticweir.id.TeamId;
 
-/** Takes callers' requests: finds route and team, reads the body, starts the run. */
+/** Handles callers' requests: finds route and team, reads the body, starts the request. */
 final class RelayHandler implements HttpHandler {
     private static final Logger LOG = LogManager.getLogger(RelayHandler.class);
 
-    /** When a caller may come back that was refused for want of a catalog, in ms. */
+    /**
+     * Retry delay for a caller that was refused because the catalog is missing or may be outdated,
+     * in ms.
+     */
     private static final long NO_CONFIGURATION_RETRY_MS = 300;
 
     private final RelayContext context;
@@ -40,7 +43,7 @@
         this.connections = checkNotNull(connections, "connections");
     }
 
-    /** A request that is refused before it is read. */
+    /** Thrown when a request is refused before it starts. */
     private static final class Refusal extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -52,7 +55,7 @@
         }
     }
 
-    /** What the head of a request leads to. */
+    /** A request whose head was accepted, and what was found for it in the catalog. */
     private record Admitted(
             HttpHeaders headers,
             RequestMetadata caller,
@@ -73,12 +76,15 @@
         } catch (Refusal refusal) {
             refuse(exchange, refusal);
         } catch (RuntimeException e) {
-            LOG.error("relay: a request failed inside the router", e);
+            LOG.error("relay: request failed with an internal error", e);
             refuse(exchange, new Refusal(ErrorCode.INTERNAL, "internal error"));
         }
     }
 
-    /** With the answer, not with the request: the order to leave may come between them. */
+    /**
+     * Decides this when the answer begins, not when the request begins: the shutdown may start in
+     * between.
+     */
     private void closeConnectionIfDraining(HttpServerExchange exchange) {
         if (admission.isDraining()) {
             exchange.setPersistent(false);
@@ -110,12 +116,14 @@
     }
 
     /**
-     * Refuses what may not end before this router does.
+     * Refuses a request that may not end before this router exits.
      *
-     * <p>Failure guarded against: a head that comes early says nothing of when its body ends, and a
-     * request that is whole only then is cut off at its server.
+     * <p>A head that arrives early does not show when its body will be complete. A request whose
+     * body is complete only late would be cut off at its server, so this is checked again after the
+     * body.
      *
-     * @param isComplete whether the body has been read, too; it is asked before and after
+     * @param isComplete whether the body has been read, too; this is called before and after
+     *     reading it
      */
     private void checkAdmission(
             Route route, RequestMetadata caller, long receivedMs, boolean isComplete)
@@ -143,16 +151,16 @@
         }
     }
 
-    /** Returns the time after which the request ends in any case. */
+    /** Returns the longest time that the request can take. */
     private static long timeoutMs(Route route, RequestMetadata caller) {
         return Math.min(caller.timeoutMs().orElse(Long.MAX_VALUE), route.timeoutMs());
     }
 
     /**
-     * Refuses a request whose length can be read in two ways.
+     * Refuses a request whose length is ambiguous.
      *
-     * <p>Failure guarded against: the router takes one length and a server the other, and the rest
-     * of the body runs there as a request that no caller sent.
+     * <p>Prevents request smuggling: if the router used one length and a server the other, the rest
+     * of the body would run at the server as a request that no caller sent.
      */
     private static void checkFraming(HttpServerExchange exchange) throws Refusal {
         int lengths = count(exchange, Headers.CONTENT_LENGTH_STRING);
@@ -189,10 +197,11 @@
     }
 
     /**
-     * Says that something does not exist only when this router is sure of it.
+     * Returns the refusal for something that this router's catalog lacks: a definite error if the
+     * catalog is up to date, and a retryable one otherwise.
      *
-     * <p>Failure guarded against: a router that has heard nothing for a while denies what a newer
-     * catalog has. A caller doesn't come back after such an answer, but does after this one.
+     * <p>A router that has received no updates for a while may lack what a newer catalog has.
+     * Callers don't retry after a definite error, but they do after the other one.
      */
     private static Refusal notFound(RelayView view, ErrorCode code, String reason) {
         return view.isCatalogFresh()
--- a/masticweir/src/main/java/org/masticweir/relay/RelayMetrics.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayMetrics.java
@@ -15,15 +15,18 @@
 import org.masticweir.time.Clock;
 
 /**
- * Counts what requests experience, by class, team, server, failure domain and cause; thread-safe.
+ * Counts the outcomes of requests by class, team, server, failure domain and cause; thread-safe.
  *
- * <p>A class is a route of the catalog. Classes, teams and servers are bounded in number, as they
- * come and go while the process runs.
+ * <p>A class is a route of the catalog. The number of classes, teams and servers with series of
+ * their own is limited, as they come and go while the process runs.
  */
 final class RelayMetrics {
     private static final long WINDOW_MS = 60_000;
 
-    /** Classes, teams and servers shown each; some hundred bytes a series. */
+    /**
+     * Limit on the classes, on the teams and on the servers that have series of their own; a series
+     * takes some hundred bytes.
+     */
     private static final int MAX_LABELS = 64;
 
     private static final String NO_TEAM = "none";
@@ -43,46 +46,52 @@
         return new RelayMetrics(registry, clock);
     }
 
-    /** How one send ended. */
+    /** Outcome of one send. */
     enum SendEnd {
         ANSWERED,
         REFUSED,
         BROKE_OFF,
         SILENT,
         NOT_REACHED,
-        /** This router left it, as its content went into quarantine. */
+        /** This router cancelled it, as its content was quarantined. */
         STOPPED
     }
 
-    /** Returns the counts of one request. */
+    /** Returns the metrics of one request. */
     RequestMetrics request(String route, Optional<TeamId> team) {
         return new RequestMetrics(
                 classes.shownAs(route), teams.shownAs(team.map(TeamId::value).orElse(NO_TEAM)));
     }
 
-    /** A request was refused before its route was known or taken. */
+    /** Counts a request that was refused before its route was known or before it was admitted. */
     void countRefusedUnread(ErrorCode code) {
         count("requests_refused_unread_total", "outcome", lower(code));
     }
 
-    /** A request went to {@code server}, for the {@code sends}-th time. */
+    /**
+     * Counts a send to {@code server}; {@code sends} is the number of sends of the request so far,
+     * this one included.
+     */
     void countSend(BackendServer server, int sends) {
         String again = sends > 1 ? "yes" : "no";
         count("sends_total", "domain", server.domain().value(), "again", again);
     }
 
-    /** A send to {@code server} ended. */
+    /** Counts the end of a send to {@code server}. */
     void countSendEnd(BackendServer server, SendEnd end) {
         String shown = servers.shownAs(server.id().value());
         count("sends_ended_total", "server", shown, "cause", lower(end));
     }
 
-    /** A stream went on at {@code server} after a loss, {@code ms} after its last event. */
+    /**
+     * Records that a stream resumed at {@code server} after a loss, {@code ms} after its last
+     * event.
+     */
     void recordResume(BackendServer server, long ms) {
         histogram("resume_ms", "domain", server.domain().value()).update(ms);
     }
 
-    /** What is counted of one request under its class and team. */
+    /** Metrics of one request under its class and team. */
     final class RequestMetrics {
         private final String route;
         private final String team;
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
@@ -11,9 +11,9 @@
 import org.masticweir.id.TeamId;
 
 /**
- * A caller's request as it was read; never changed.
+ * A caller's request as it was received; immutable.
  *
- * @param path path and query as they came
+ * @param path path and query as received
  * @param body not copied, as it may be long and is only read
  */
 record RelayRequest(
@@ -47,12 +47,12 @@
         return new RelayRequest(plan, caller, team, method, path, headers, body);
     }
 
-    /** Returns the caller's id of the request. */
+    /** Returns the caller's id of the attempt. */
     String id() {
         return caller.requestId();
     }
 
-    /** Returns the call that carries out {@code send}. */
+    /** Returns the HTTP call for {@code send}. */
     HttpCall toCall(Step.Send send, PlatformProtocol protocol, long nowMs) {
         long leftMs = Math.max(1, plan.expiresMs() - nowMs);
         SendMetadata head = new SendMetadata(caller.requestId(), send, team, leftMs);
--- a/masticweir/src/main/java/org/masticweir/relay/RequestLifecycle.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLifecycle.java
@@ -19,10 +19,9 @@
 import org.masticweir.relay.RelayMetrics.SendEnd;
 
 /**
- * One request from its last byte to the last byte of its answer; runs on the traffic thread.
+ * Lifecycle of one request, from its last byte to the last of its answer; on the traffic thread.
  *
- * <p>It carries out what its {@link RequestStateMachine} decides, and owns the request's timers,
- * its connection to a server and its entry on the load board.
+ * <p>Executes the steps of its {@link RequestStateMachine}; owns timer, connection and load entry.
  */
 final class RequestLifecycle implements InFlightRequests.Request {
     private final RelayContext context;
@@ -43,15 +42,14 @@
     private SilenceTimer silence;
     private int sendNumber;
 
-    /** Whether the send under way has left this process. */
+    /** Whether the current send has left this process. */
     private boolean isWritten;
 
     private boolean isEnded;
 
-    /** Delivers a server's failure unless the request goes to another one at once. */
+    /** Delivers a server's error answer, unless the request is sent to another server at once. */
     private Optional<Runnable> errorAnswer = Optional.empty();
 
-    /** Creates the run of a request that was read whole. */
     RequestLifecycle(RelayContext context, RelayRequest request, HttpServerExchange exchange) {
         this.context = checkNotNull(context, "context");
         this.request = checkNotNull(request, "request");
@@ -156,7 +154,7 @@
                         plan.route().streams(),
                         context.protocol(),
                         new Listener(next, number));
-        // The connection may have failed, or the request ended, before this call returned.
+        // The connection may have failed, or the request ended, before open() returned.
         if (!isEnded && number == sendNumber && silence != null) {
             send = Optional.of(opened);
             scheduleTimer();
@@ -166,8 +164,8 @@
     }
 
     /**
-     * Returns what goes to a server that has taken the connection, with the time that is left by
-     * now. If what led to the send no longer holds, takes the next step and returns nothing.
+     * Returns the call for a server that has accepted the connection, with the time that remains
+     * now. If the reasons for the send no longer hold, takes the next step and returns nothing.
      */
     private Optional<HttpCall> callTo(Step.Send next, int number) {
         detector.checkClosed();
@@ -186,7 +184,7 @@
         return Optional.of(request.toCall(next, context.protocol(), now));
     }
 
-    /** A send that has not left this process has not run, whatever ends it. */
+    /** Reports a send that has not left this process as not run, whatever ends it. */
     private void abortUnwrittenSend() {
         if (silence != null && !isWritten) {
             isWritten = true;
@@ -194,7 +192,7 @@
         }
     }
 
-    /** Waits for the request's end, and on streams for the engine's next sign of life. */
+    /** Sets the timer to the deadline or, if earlier, to the check for silence or slowness. */
     private void scheduleTimer() {
         long dueMs = plan.expiresMs();
         if (plan.route().streams()) {
@@ -247,7 +245,7 @@
         machine.onSlowAnswer(now).ifPresent(this::retryElsewhere);
     }
 
-    /** Leaves the send under way once there is leave to send the request next. */
+    /** Abandons the current send once a permit for a retry is granted. */
     private void retryElsewhere(Step step) {
         SilenceTimer abandoned = silence;
         if (step instanceof Step.Send) {
@@ -266,7 +264,7 @@
         }
     }
 
-    /** A send ended that may have run, without a whole answer. */
+    /** Records the end of a send that may have run and has no complete answer. */
     private void logLost(BackendServer server, SendEnd end, String what, long sentMs) {
         log.logLoss(server, what, sentMs, trial.eventCount(), trial.content());
         context.metrics().countSendEnd(server, end);
@@ -299,7 +297,6 @@
         }
     }
 
-    /** A send ended that has not run. */
     private void logNotRun(BackendServer server, SendEnd end, String what, long sentMs) {
         log.logServerEvent(server, what, sentMs);
         context.metrics().countSendEnd(server, end);
@@ -332,15 +329,14 @@
         if (isEnded) {
             return;
         }
-        log.logCallerLeft(stage());
+        log.logCallerLeft(describeStage());
         metrics.countCallerLeft();
         abortUnwrittenSend();
         release();
         answer.abort();
     }
 
-    /** Returns how far the request has come, in words. */
-    private String stage() {
+    private String describeStage() {
         if (send.isEmpty()) {
             return "at no server after " + machine.sendCount() + " sends";
         }
@@ -348,7 +344,7 @@
         return "at " + silence.server().id() + " in send " + sendNumber + ", " + events;
     }
 
-    /** Gives back all that the request holds; the answer's last bytes may still be written. */
+    /** Releases all resources of the request; the last bytes of the answer may still be queued. */
     private void release() {
         isEnded = true;
         machine.close();
@@ -361,7 +357,7 @@
         return context.clock().nowMs();
     }
 
-    /** Hears one send; words of an earlier one change nothing. */
+    /** Handles the events of one send; ignores those of an earlier send. */
     private final class Listener implements SendListener {
         private final Step.Send sent;
         private final int number;
--- a/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
@@ -16,8 +16,8 @@
 import org.masticweir.permits.PermitDecision;
 
 /**
- * Writes one line for each decision on one request, with the request's id and what decided it; on
- * the traffic thread.
+ * Logs one line for each decision on a request, with the request's id and the reasons; runs on the
+ * traffic thread.
  */
 final class RequestLog {
     private static final Logger LOG = LogManager.getLogger(RequestLog.class);
@@ -32,7 +32,7 @@
         receivedMs = request.plan().receivedMs();
     }
 
-    /** The request is sent, for the {@code number}-th time. */
+    /** Logs a send; {@code number} counts the sends of the request from 1. */
     void logSend(Step.Send send, int number) {
         ServerLoad load = context.loads().totalLoad(send.server().incarnation());
         LOG.info(
@@ -50,7 +50,7 @@
                 context.view().get().catalog().map(Catalog::version).orElse(0L));
     }
 
-    /** Engines were asked for the prompt. */
+    /** Logs which engine has the request's prompt in its cache. */
     void logPromptSearch(int askedCount, Optional<BackendServer> engine) {
         LOG.info(
                 "relay: request {}: its prompt is kept by {}, {} engines asked",
@@ -59,7 +59,7 @@
                 askedCount);
     }
 
-    /** Something happened at the server of the send that left at {@code sentMs}. */
+    /** Logs an event at the server of the send that was sent at {@code sentMs}. */
     void logServerEvent(BackendServer server, String what, long sentMs) {
         LOG.info(
                 "relay: request {}: {} in {} {} after {} ms",
@@ -71,8 +71,8 @@
     }
 
     /**
-     * A send that left at {@code sentMs} ended without a whole answer, {@code events} after its
-     * start.
+     * Logs that the send of {@code sentMs} ended without a complete answer, after {@code events}
+     * events.
      */
     void logLoss(BackendServer server, String what, long sentMs, int events, ContentId content) {
         LOG.info(
@@ -86,7 +86,7 @@
                 content);
     }
 
-    /** A permit to send the request again was asked for at {@code askedMs}. */
+    /** Logs the decision on a retry permit that was requested at {@code requestedMs}. */
     void logRetryPermit(ServiceName service, PermitDecision decision, long requestedMs) {
         LOG.info(
                 "relay: request {}: repeat for {} {} after {} ms",
@@ -102,13 +102,15 @@
                 : "denied for the next " + decision.retryAfterMs() + " ms";
     }
 
-    /** An engine that has not begun the request in time reports, or does not. */
+    /**
+     * Logs the report of an engine that has not started the request in time, or that there is none.
+     */
     void logReport(BackendServer server, Optional<EngineReport> report, long sentMs) {
         logServerEvent(
                 server, "reports " + report.map(EngineReport::toString).orElse("nothing"), sentMs);
     }
 
-    /** A permit was asked for at {@code askedMs}. */
+    /** Logs the decision on a server permit that was requested at {@code requestedMs}. */
     void logServerPermit(BackendServer server, PermitDecision decision, long requestedMs) {
         LOG.info(
                 "relay: request {}: permit for {} {} after {} ms, it takes {}",
@@ -119,7 +121,7 @@
                 context.limits().describe(server.incarnation()));
     }
 
-    /** A stream goes on after a pause. */
+    /** Logs that a stream resumed after a pause. */
     void logResume(BackendServer server, long pauseMs) {
         LOG.info("relay: request {} goes on at {} after {} ms", id, server.id(), pauseMs);
     }
@@ -144,7 +146,7 @@
                 end.reason());
     }
 
-    /** The caller left; {@code where} tells how far the request had come. */
+    /** Logs that the caller disconnected; {@code stage} states how far the request had come. */
     void logCallerLeft(String stage) {
         LOG.info("relay: request {} was left by its caller after {} ms, {}", id, ageMs(), stage);
     }
--- a/masticweir/src/main/java/org/masticweir/relay/RequestMetadata.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestMetadata.java
@@ -8,12 +8,12 @@
 import org.masticweir.id.PromptId;
 
 /**
- * What a caller says of its request beside method, path and body; immutable.
+ * What a caller's request states besides method, path and body; immutable.
  *
  * @param requestId the caller's id of this attempt
  * @param timeoutMs how long the caller waits
  * @param teamKey the team's key
- * @param size what the request will cost an engine
+ * @param size estimated cost of the request for an engine
  * @param prompt the part of its prompt that no other caller's request shares
  * @param lastEventId last event that the caller already has
  */
--- a/masticweir/src/main/java/org/masticweir/relay/RequestPermits.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestPermits.java
@@ -6,7 +6,9 @@
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.ServiceName;
 
-/** Asks for the permits that one request needs, and logs the decisions; on the traffic thread. */
+/**
+ * Requests the permits that one request needs, and logs the decisions; runs on the traffic thread.
+ */
 final class RequestPermits {
     private final RelayContext context;
     private final RequestLog log;
@@ -16,7 +18,7 @@
         this.log = checkNotNull(log, "log");
     }
 
-    /** Asks whether the request may go to a server that limits what it takes. */
+    /** Requests a permit to send the request to a server that limits its request rate. */
     void requestServerPermit(BackendServer server, int urgency, Consumer<Boolean> callback) {
         long requestedMs = context.clock().nowMs();
         context.limits()
@@ -29,7 +31,7 @@
                         });
     }
 
-    /** Asks whether the request may be sent again. */
+    /** Requests a permit to retry the request. */
     void requestRetryPermit(ServiceName service, int urgency, Consumer<Boolean> callback) {
         long requestedMs = context.clock().nowMs();
         context.sharedRetries()
--- a/masticweir/src/main/java/org/masticweir/relay/RequestTimer.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestTimer.java
@@ -7,7 +7,9 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The one timer of a request: setting it anew drops the one before; on the traffic thread. */
+/**
+ * The only timer of a request: setting it replaces the previous one; runs on the traffic thread.
+ */
 final class RequestTimer implements AutoCloseable {
     private final XnioIoThread thread;
     private Optional<XnioExecutor.Key> key = Optional.empty();
@@ -17,7 +19,7 @@
         this.thread = checkNotNull(thread, "thread");
     }
 
-    /** Runs {@code then} after {@code ms} unless the timer is set or closed before. */
+    /** Runs {@code task} after {@code ms}, unless the timer is set again or closed before. */
     void set(long ms, Runnable task) {
         close();
         int own = number;
@@ -33,7 +35,7 @@
                                 TimeUnit.MILLISECONDS));
     }
 
-    /** Drops the timer; it may be set again. */
+    /** Cancels the timer; it may be set again. */
     @Override
     public void close() {
         number++;
--- a/masticweir/src/main/java/org/masticweir/relay/SendListener.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SendListener.java
@@ -4,26 +4,26 @@
 import java.util.OptionalLong;
 import org.masticweir.http.HttpHead;
 
-/** Hears how one send to a server goes; the last call is one of the ends. */
+/** Receives the events of one send to a server; the last call is one of the end events. */
 interface SendListener {
-    /** The head of an answer to this request came, from the server that was meant. */
+    /** The head of an answer to this request arrived from the intended server. */
     void onHead(AnswerMetadata metadata);
 
-    /** An event of a series came whole. */
+    /** A complete event of a stream arrived. */
     void onEvent(HttpHead head, ByteBuffer bytes, OptionalLong id);
 
-    /** End: the series of events is complete. */
+    /** End: the stream is complete. */
     void onStreamEnd(HttpHead head);
 
-    /** End: a whole answer. */
+    /** End: the complete answer arrived. */
     void onAnswer(HttpHead head, AnswerMetadata metadata, byte[] body);
 
-    /** End: the server says that it did not run the request. */
+    /** End: the server reports that it did not run the request. */
     void onRefusal(HttpHead head, AnswerMetadata metadata);
 
-    /** End: nothing has left this process. */
+    /** End: the request has not left this process. */
     void onNotSent();
 
-    /** End: the request was sent, and no answer that can be used will come. */
+    /** End: the request was sent, and no usable answer will arrive. */
     void onLost(String reason);
 }
--- a/masticweir/src/main/java/org/masticweir/relay/SendMetadata.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SendMetadata.java
@@ -7,10 +7,10 @@
 import org.masticweir.id.TeamId;
 
 /**
- * What the router says of a request to the server that gets it; immutable.
+ * What the router states about a request to the server that receives it; immutable.
  *
  * @param requestId the caller's id of this attempt
- * @param remainingMs time that is left for the answer
+ * @param remainingMs time that remains for the answer
  */
 public record SendMetadata(
         String requestId, Step.Send send, Optional<TeamId> team, long remainingMs) {
--- a/masticweir/src/main/java/org/masticweir/relay/ServerProbe.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerProbe.java
@@ -19,17 +19,20 @@
 import org.masticweir.permits.SharedLimits;
 
 /**
- * Finds out whether a server ended or only a connection to it; owned by the traffic thread.
+ * Determines whether a server ended or only a connection to it broke; owned by the traffic thread.
  *
- * <p>A reset, a spoilt answer or a lost packet breaks a connection as the end of its server does. A
- * server that lives answers the call made here at once. One call serves all who ask about a life
- * meanwhile.
+ * <p>A reset, a corrupt answer or a lost packet breaks a connection in the same way as the end of
+ * its server. A server that is alive answers the probe at once. Concurrent queries about the same
+ * incarnation share one probe.
  */
 final class ServerProbe {
-    /** Time for the answer, in ms: a way there and back and a busy server's turn. */
+    /** Timeout of a probe, in ms: one round trip and the response time of a busy server. */
     private static final long TIMEOUT_MS = 300;
 
-    /** Calls made where a connection kept from before may have been broken with the others. */
+    /**
+     * Limit on the calls of one probe: the first may use a pooled connection that broke together
+     * with the others.
+     */
     private static final int MAX_CALLS = 2;
 
     private final HttpCaller calls;
@@ -38,13 +41,13 @@
     private final AnswerMetadataRecorder answerMetadata;
     private final Map<ServerIncarnation, List<Consumer<Result>>> pending = new HashMap<>();
 
-    /** What became of a server. */
+    /** Result of a probe. */
     enum Result {
         ENDED,
         LIVES,
-        /** It takes no connection. */
+        /** The server does not accept connections. */
         UNREACHED,
-        /** There is no telling. */
+        /** The probe was not possible or not conclusive. */
         UNKNOWN
     }
 
@@ -59,7 +62,7 @@
         this.answerMetadata = checkNotNull(answerMetadata, "answerMetadata");
     }
 
-    /** Tells {@code then}, once, what became of {@code server}. */
+    /** Calls {@code callback} once with the result of a probe of {@code server}. */
     void probe(BackendServer server, Optional<Catalog> catalog, Consumer<Result> callback) {
         List<Consumer<Result>> others = pending.get(server.incarnation());
         if (others != null) {
--- a/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
@@ -16,18 +16,19 @@
 import org.xnio.XnioIoThread;
 
 /**
- * One send of a request to a server, whose answer is checked before anyone sees it.
+ * One send of a request to a server; checks the answer before it is passed on. Runs on the traffic
+ * thread.
  *
- * <p>Each send has a connection of its own: an answer that comes late or twice then meets no other
- * request, and a connection that its server has just closed is never used. New connections cost 2
- * in 1,000 of what requests earn, measured on a calm day.
+ * <p>Each send has its own connection: a late or duplicate answer then can't be taken for the
+ * answer to another request, and a connection that its server has just closed is never used. New
+ * connections cost 2 in 1,000 of what requests earn, measured on a calm day.
  *
- * <p>Failures guarded against: an answer to another request arrives first on the connection, an
- * answer bears no signature, a body is longer than any that is expected. Such an answer belongs to
- * nobody: the send is lost and its connection is closed. Runs on the traffic thread.
+ * <p>If an answer to another request arrives first on the connection, an answer has no signature,
+ * or a body is longer than expected, the answer is discarded: the send is lost and its connection
+ * is closed.
  */
 final class ServerSend implements AutoCloseable {
-    /** Longest whole answer kept, in bytes. */
+    /** Limit on the size of a complete answer. */
     private static final int MAX_ANSWER_BYTES = 8 << 20;
 
     private final String requestId;
@@ -50,11 +51,12 @@
     }
 
     /**
-     * Connects to {@code address} and sends what {@code call} returns then.
+     * Connects to {@code address} and sends the call that {@code call} then returns.
      *
-     * @param call asked once the connection stands; empty if there is nothing to send any more
-     * @param requestId id that the answer must bear
-     * @param streams whether a success is a series of events
+     * @param call evaluated once the connection is established; empty if there is no longer
+     *     anything to send
+     * @param requestId id that the answer must have
+     * @param streams whether a successful answer is an event stream
      */
     static ServerSend open(
             XnioIoThread thread,
@@ -77,7 +79,7 @@
         return send;
     }
 
-    /** Drops the connection; nothing is heard of it any more. */
+    /** Closes the connection; the listener receives no further events. */
     @Override
     public void close() {
         isEnded = true;
@@ -96,7 +98,7 @@
         listener.onLost(reason);
     }
 
-    /** Reads the answer's bytes. */
+    /** Handles the bytes of the answer. */
     private final class AnswerReader implements HttpStreamListener {
         @Override
         public void head(HttpHead received) {
@@ -114,7 +116,7 @@
             if (metadata.requestId().isPresent() && !metadata.requestId().get().equals(requestId)) {
                 discard("the answer is to another request");
             } else if (received.isSuccess() && !metadata.isSigned()) {
-                discard("the answer bears no signature");
+                discard("the answer has no signature");
             } else {
                 listener.onHead(metadata);
             }
--- a/masticweir/src/main/java/org/masticweir/relay/SharedRetryPermits.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SharedRetryPermits.java
@@ -10,7 +10,7 @@
 import org.masticweir.permits.SharedPermits;
 import org.masticweir.time.Clock;
 
-/** Permits for repeats beyond what a router's own requests allow; owned by the traffic thread. */
+/** Permits for retries beyond what a router's own requests allow; owned by the traffic thread. */
 final class SharedRetryPermits {
     private final ServiceRetryBudgets retryBudgets;
     private final SharedPermits permits;
@@ -23,10 +23,10 @@
     }
 
     /**
-     * Asks for a permit to send one request again.
+     * Requests a permit to retry one request.
      *
-     * @param urgency 0 for the first to be served
-     * @param callback hears the decision on the traffic thread
+     * @param urgency rank of the request; 0 is served first
+     * @param callback receives the decision on the traffic thread
      */
     void request(ServiceName service, int urgency, Consumer<PermitDecision> callback) {
         permits.request(
--- a/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
@@ -9,8 +9,8 @@
 import org.masticweir.forward.SilenceTimer;
 
 /**
- * Finds out whether a server that is silent for too long still has a request; on the traffic
- * thread.
+ * Determines whether a server that has been silent for too long still has a request; runs on the
+ * traffic thread.
  */
 final class SilenceInquiry {
     private final RelayContext context;
@@ -26,9 +26,10 @@
     }
 
     /**
-     * Tells {@code then}, once, why the server is lost, or nothing if it gets more time.
+     * Calls {@code callback} once with the reason why the server is lost, or with nothing if it
+     * gets more time.
      *
-     * @param isRelevant whether an answer still matters; if not, it changes nothing
+     * @param isRelevant whether the result still matters; if not, {@code callback} is not called
      */
     void start(long nowMs, BooleanSupplier isRelevant, Consumer<Optional<String>> callback) {
         if (silence.isLossCertain()) {
@@ -48,10 +49,13 @@
         }
     }
 
-    /** A server that takes no calls is believed to live unless other sends to it have failed. */
+    /**
+     * Returns the loss of a server during its pause, when it takes no calls. It is assumed to be
+     * alive unless other sends to it have failed.
+     */
     private Optional<String> checkDuringPause(long nowMs) {
         if (context.health().isDown(silence.server(), nowMs)) {
-            return Optional.of("failed while it took no calls");
+            return Optional.of("failed during its pause");
         }
         silence.restart(nowMs);
         return Optional.empty();
--- a/masticweir/src/main/java/org/masticweir/relay/StartupListener.java
+++ b/masticweir/src/main/java/org/masticweir/relay/StartupListener.java
@@ -13,17 +13,17 @@
 import org.masticweir.error.Verdict;
 
 /**
- * Holds the callers' port while a router starts, so that callers can connect; not thread-safe.
+ * Listens on the callers' port while a router starts, so that callers can connect; not thread-safe.
  *
- * <p>Failure that it answers: all routers are lost and start again together. Until they listen,
- * every connection is refused, and a caller that is refused twice is lost for good, though its
- * report could wait some seconds for its first event. The system keeps the connections made here,
- * and what callers send on them, until the router takes them over.
+ * <p>If all routers are lost and restart together, every connection is refused until they listen. A
+ * caller that is refused twice does not come back, though its report could wait some seconds for
+ * its first event. The operating system holds the connections that are made here, and the bytes
+ * sent on them, until the router takes them over.
  *
- * <p>Nothing here may log or load much: it is opened before the log is set up.
+ * <p>This class must not log or load many classes: it is used before the log is set up.
  */
 public final class StartupListener implements AutoCloseable {
-    /** Connections that may wait; further ones are refused by the system. */
+    /** Connections that may wait; the operating system refuses further ones. */
     private static final int BACKLOG = 1_024;
 
     private final ServerSocketChannel channel;
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Gives the port free and returns the connections that were made to it. */
+    /** Closes the port and returns the connections that were made to it. */
     List<SocketChannel> release() throws IOException {
         List<SocketChannel> waiting = new ArrayList<>();
         SocketChannel next = channel.accept();
--- a/masticweir/src/main/java/org/masticweir/relay/package-info.java
+++ b/masticweir/src/main/java/org/masticweir/relay/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Passes requests on to backend servers and their answers back: the adapters around {@link
- * org.masticweir.forward}, and the router that joins them.
+ * Forwards requests to backend servers and their answers to callers: the adapters around {@link
+ * org.masticweir.forward}, and the router that wires them together.
  *
- * <p>One traffic thread owns all requests, their servers' connections and the state of placement.
- * One control thread owns what is known of the deployment and publishes it as immutable values.
+ * <p>One traffic thread owns all requests, their connections to servers and the state of server
+ * selection. One control thread owns the observed state of the deployment and publishes it as
+ * immutable values.
  */
 package org.masticweir.relay;
--- a/masticweir/src/test/java/org/masticweir/relay/DrainingAdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/DrainingAdmissionTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Which requests a router takes while it leaves. */
+/** Tests which requests a router admits during its shutdown. */
 class DrainingAdmissionTest {
     private static final long TIMEOUT_MS = 800;
     private static final OptionalLong SHORT = OptionalLong.of(1);
@@ -22,9 +22,9 @@
     }
 
     /**
-     * A booking gets no answer: it came 7.8 s after the order to leave, over a connection that the
-     * balancer still gave to this router, went on to a server, and was cut off 70 ms later when the
-     * process had to end.
+     * Guards against a booking without an answer: it arrived 7.8 s after the shutdown request, over
+     * a connection that the balancer still assigned to this router, was sent to a server, and was
+     * cut off 70 ms later when the process had to exit.
      */
     @Nested
     class Draining {
@@ -49,8 +49,8 @@
         }
 
         /**
-         * A report is cut off in its middle: it came 3.1 s after the order to leave, streams like
-         * it had ended in time, and its engine let it wait.
+         * Guards against a report that is cut off: it arrived 3.1 s after the shutdown request,
+         * similar streams had ended in time, and its engine queued it.
          */
         @Test
         void refusesLateStreamsHoweverShort() {
--- a/masticweir/src/test/java/org/masticweir/relay/EarlyConnectionProxyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/EarlyConnectionProxyTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A caller's report is lost though it could have waited: all routers were lost and start again, its
- * connection is refused while they do, and its one retry is refused too.
+ * Guards against the loss of a report after all routers restart together: its connection is refused
+ * during the start, and so is its only retry, though it could have waited.
  */
 class EarlyConnectionProxyTest {
     private static final int WAIT_MS = 10_000;
@@ -49,7 +49,7 @@
         return socket;
     }
 
-    /** The router's own port, open where the listener was. */
+    /** The router's own port, opened at the address of the listener. */
     private ServerSocket router() throws IOException {
         ServerSocket port = new ServerSocket(address.getPort(), 50, address.getAddress());
         port.setSoTimeout(WAIT_MS);
@@ -94,7 +94,7 @@
         }
     }
 
-    /** A caller that gave up before anyone read its request must not be run for. */
+    /** The request of a caller that gave up before it was read must not run. */
     @Test
     void dropsConnectionsOfDisconnectedCallers() throws IOException {
         caller().close();
@@ -108,7 +108,7 @@
         }
     }
 
-    /** A long request is passed on in parts, and its caller's close lies behind the last one. */
+    /** A long request is forwarded in parts, and its caller's close follows the last part. */
     @Test
     void forwardsNoCompleteRequestOfDisconnectedCallers() throws IOException {
         int bytes = (8 << 10) + 500;
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Nothing is left of a start once its callers are gone. */
+    /** The thread of a start ends once its callers have disconnected. */
     @Test
     void endsItsThreadWithTheLastConnection() throws Exception {
         try (Socket caller = caller();
--- a/masticweir/src/test/java/org/masticweir/relay/EventSplitterTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/EventSplitterTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Only whole events leave the splitter. */
+/** The splitter passes on complete events only. */
 class EventSplitterTest {
     private static final String THREE =
             "id: 7\ndata: a\n\nx-version: 2\nid: 8\r\ndata: b\r\n\r\ndata: no id\n\n";
@@ -39,7 +39,7 @@
         return splitter;
     }
 
-    /** However the bytes are cut on their way, the same events come out, byte for byte. */
+    /** The events are the same, byte for byte, however the bytes are divided in transit. */
     @Property
     void emitsTheSameEventsHoweverTheBytesAreDivided(@ForAll @IntRange(min = 1, max = 80) int step)
             throws IOException {
@@ -52,8 +52,8 @@
     }
 
     /**
-     * A report shows half a sentence twice: its server stopped in the middle of an event, the part
-     * was passed on, and the next server began with that event.
+     * Guards against half a sentence appearing twice in a report: a server stopped in the middle of
+     * an event, the part was passed on, and the next server started with that event.
      */
     @Test
     void holdsBackAnIncompleteEvent() throws IOException {
--- a/masticweir/src/test/java/org/masticweir/relay/ExchangeCompletionTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ExchangeCompletionTest.java
@@ -20,11 +20,11 @@
 import org.masticweir.http.HttpHead;
 import org.masticweir.http.HttpHeaders;
 
-/** When a request's exchange counts as over. */
+/** Tests when an exchange counts as complete. */
 class ExchangeCompletionTest {
     private static final long WAIT_MS = 10_000;
 
-    /** More than the system keeps for a caller that does not read. */
+    /** More than the operating system buffers for a caller that does not read. */
     private static final int LONG_BYTES = 16 << 20;
 
     private static final int RECEIVE_BYTES = 4 << 10;
@@ -77,7 +77,10 @@
         return bytes;
     }
 
-    /** A router ends over the answer of a caller that reads slowly: it counted as given. */
+    /**
+     * Guards against a router that exits before a slow caller has read its whole answer, because
+     * the answer already counted as delivered.
+     */
     @Test
     void completesAfterTheLastByteOfTheAnswer() throws Exception {
         try (Socket caller = ask()) {
--- a/masticweir/src/test/java/org/masticweir/relay/HedgedPeerRequestTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/HedgedPeerRequestTest.java
@@ -14,7 +14,10 @@
 import org.masticweir.relay.RelayMessages.CatalogRequest;
 import org.masticweir.time.ManualScheduler;
 
-/** A reply that came late was dropped and asked for again, or a silent peer held up the rest. */
+/**
+ * Guards against dropping a late reply and requesting it again, and against a silent peer that
+ * delays all requests.
+ */
 class HedgedPeerRequestTest {
     private static final CatalogRequest QUESTION = new CatalogRequest(1, true);
     private static final PeerMessage REPLY = CatalogReply.whole("2");
