--- a/masticweir/src/main/java/org/masticweir/relay/RequestLifecycle.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLifecycle.java
@@ -20,8 +20,7 @@
 
 /**
  * Lifecycle of one request, from its last byte to the last of its answer; on the traffic thread.
- *
- * <p>Executes the steps of its {@link RequestStateMachine}; owns timer, connection and load entry.
+ * Executes the steps of its {@link RequestStateMachine}; owns timer, connection and load entry.
  */
 final class RequestLifecycle implements InFlightRequests.Request {
     private final RelayContext context;
@@ -42,8 +41,7 @@
     private SilenceTimer silence;
     private int sendNumber;
 
-    /** Whether the current send has left this process. */
-    private boolean isWritten;
+    private boolean isSendWritten;
 
     private boolean isEnded;
 
@@ -135,7 +133,7 @@
             return;
         }
         sendNumber++;
-        isWritten = false;
+        isSendWritten = false;
         trial.beginSend();
         int number = sendNumber;
         log.logSend(next, number);
@@ -180,14 +178,14 @@
             execute(machine.next(now));
             return Optional.empty();
         }
-        isWritten = true;
+        isSendWritten = true;
         return Optional.of(request.toCall(next, context.protocol(), now));
     }
 
     /** Reports a send that has not left this process as not run, whatever ends it. */
     private void abortUnwrittenSend() {
-        if (silence != null && !isWritten) {
-            isWritten = true;
+        if (silence != null && !isSendWritten) {
+            isSendWritten = true;
             machine.onSendAborted(now());
         }
     }
