--- a/masticweir/src/main/java/org/masticweir/relay/AnswerMetadataRecorder.java
+++ b/masticweir/src/main/java/org/masticweir/relay/AnswerMetadataRecorder.java
@@ -17,15 +17,15 @@
 import org.masticweir.time.Clock;
 
 /**
- * Takes what servers say of themselves in the heads of their answers, with a log line and a count
- * for what is new; owned by the traffic thread.
+ * Records what servers announce about themselves in the heads of their answers, and logs and counts
+ * each new announcement; owned by the traffic thread.
  */
 final class AnswerMetadataRecorder {
     private static final Logger LOG = LogManager.getLogger(AnswerMetadataRecorder.class);
 
     private final ServerNotices notices;
     private final SharedLimits limits;
-    private final PlatformProtocol dialect;
+    private final PlatformProtocol protocol;
     private final Clock clock;
     private final Counter leaving;
     private final Counter pauses;
@@ -33,54 +33,58 @@
     AnswerMetadataRecorder(
             ServerNotices notices,
             SharedLimits limits,
-            PlatformProtocol dialect,
+            PlatformProtocol protocol,
             Clock clock,
             MetricRegistry metrics) {
         this.notices = checkNotNull(notices, "notices");
         this.limits = checkNotNull(limits, "limits");
-        this.dialect = checkNotNull(dialect, "dialect");
+        this.protocol = checkNotNull(protocol, "protocol");
         this.clock = checkNotNull(clock, "clock");
         leaving = metrics.counter(MetricName.of("servers_said_leaving_total"));
         pauses = metrics.counter(MetricName.of("server_pauses_total"));
     }
 
     /**
-     * A server answered a request.
+     * Records the metadata of an answer to a request.
      *
-     * @param request the request it answered, for the log
-     * @param sentMs when that request left
+     * @param request id of the request, for the log
+     * @param sentMs when the request was sent
      */
-    void heard(ServerIncarnation server, AnswerMetadata word, String request, long sentMs) {
-        limits.handleAnswer(server, word.limit(), request, sentMs);
-        take(server, word, request);
+    void recordAnswer(
+            ServerIncarnation server, AnswerMetadata metadata, String request, long sentMs) {
+        limits.handleAnswer(server, metadata.limit(), request, sentMs);
+        recordAnnouncements(server, metadata, request);
     }
 
-    /** A server was called for its state, or for what it keeps. */
-    void called(ServerIncarnation server, HttpOutcome outcome) {
+    /**
+     * Records the outcome of a call for the state of a server or for the prompts that it caches.
+     */
+    void recordCall(ServerIncarnation server, HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answered) {
             HttpAnswer answer = answered.answer();
             HttpHead head = new HttpHead(answer.status(), HttpHeaders.copyOf(answer.headers()));
-            AnswerMetadata word = dialect.parseAnswerMetadata(head);
-            if (!word.isWrongServer()) {
-                take(server, word, "a call for its state");
+            AnswerMetadata metadata = protocol.parseAnswerMetadata(head);
+            if (!metadata.isWrongServer()) {
+                recordAnnouncements(server, metadata, "a call for its state");
             }
         }
     }
 
-    /** Returns whether a server wants no calls now. */
+    /** Returns whether a server has asked for a pause that has not ended. */
     boolean isPausing(ServerIncarnation server) {
         return notices.remainingPauseMs(server, clock.nowMs()) > 0;
     }
 
-    private void take(ServerIncarnation server, AnswerMetadata word, String request) {
-        if (word.isLeaving() && notices.recordLeaving(server, clock.nowMs())) {
+    private void recordAnnouncements(
+            ServerIncarnation server, AnswerMetadata metadata, String request) {
+        if (metadata.isLeaving() && notices.recordLeaving(server, clock.nowMs())) {
             leaving.inc();
             LOG.info("notices: {} leaves, answer to {}", server, request);
         }
-        word.pauseMs().ifPresent(ms -> pause(server, ms, request));
+        metadata.pauseMs().ifPresent(ms -> recordPause(server, ms, request));
     }
 
-    private void pause(ServerIncarnation server, long ms, String request) {
+    private void recordPause(ServerIncarnation server, long ms, String request) {
         if (notices.recordPause(server, ms, clock.nowMs())) {
             pauses.inc();
             LOG.info("notices: {} takes nothing for {} ms, answer to {}", server, ms, request);
--- /dev/null
+++ b/masticweir/src/main/java/org/masticweir/relay/EarlyConnectionProxy.java
@@ -0,0 +1,188 @@
+package org.masticweir.relay;
+
+import static com.google.common.base.Preconditions.checkNotNull;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.ClosedSelectorException;
+import java.nio.channels.SelectionKey;
+import java.nio.channels.Selector;
+import java.nio.channels.SocketChannel;
+import java.util.List;
+import org.apache.logging.log4j.LogManager;
+import org.apache.logging.log4j.Logger;
+import org.xnio.IoUtils;
+
+/**
+ * Forwards bytes in both directions between the router and the connections that callers made before
+ * the router listened on its port, until either end closes. It runs on its own thread, which ends
+ * with the last connection.
+ *
+ * <p>The I/O library opens its own sockets and can't adopt existing ones. Only the connections made
+ * during one start are forwarded, some dozens; copying their bytes costs less than their callers
+ * would lose.
+ */
+final class EarlyConnectionProxy implements AutoCloseable {
+    private static final Logger LOG = LogManager.getLogger(EarlyConnectionProxy.class);
+
+    /** Buffer size for one direction of one connection; an event has less than a tenth of it. */
+    private static final int BUFFER_BYTES = 8 << 10;
+
+    private final Selector selector;
+    private final InetSocketAddress router;
+
+    /**
+     * Number of pairs that are not closed; confined to the thread. The selector's key set can't be
+     * used for this: a closed key stays in it until the next selection, which may wait forever.
+     */
+    private int openPairs;
+
+    private EarlyConnectionProxy(Selector selector, InetSocketAddress router) {
+        this.selector = selector;
+        this.router = router;
+    }
+
+    /** Starts to forward between {@code callers} and the router that listens at {@code router}. */
+    static EarlyConnectionProxy start(List<SocketChannel> callers, InetSocketAddress router) {
+        checkNotNull(router, "router");
+        try {
+            EarlyConnectionProxy proxy = new EarlyConnectionProxy(Selector.open(), router);
+            LOG.info("router: {} callers connected while it started", callers.size());
+            Thread thread = new Thread(() -> proxy.run(callers), "early-connections");
+            thread.setDaemon(true);
+            thread.start();
+            return proxy;
+        } catch (IOException e) {
+            throw new UncheckedIOException("cannot forward early connections", e);
+        }
+    }
+
+    @Override
+    public void close() throws IOException {
+        selector.close();
+    }
+
+    private void run(List<SocketChannel> callers) {
+        callers.forEach(this::addPair);
+        try {
+            while (openPairs > 0) {
+                selector.select(key -> ((Pair) key.attachment()).forwardBytes());
+            }
+            selector.close();
+        } catch (ClosedSelectorException e) {
+            LOG.debug("router: early connections closed at router shutdown");
+        } catch (IOException e) {
+            LOG.warn("router: early connections lost, {}", e.getMessage());
+        }
+    }
+
+    private void addPair(SocketChannel caller) {
+        Pair pair = new Pair(caller);
+        openPairs++;
+        try {
+            caller.configureBlocking(false);
+            if (pair.readCaller()) {
+                pair.close();
+            } else {
+                pair.connect();
+            }
+        } catch (IOException e) {
+            LOG.info("router: early connection lost, {}", e.getMessage());
+            pair.close();
+        }
+    }
+
+    /** A caller's connection and the corresponding connection to the router. */
+    private final class Pair {
+        private final SocketChannel caller;
+        private final ByteBuffer toRouter = ByteBuffer.allocate(BUFFER_BYTES);
+        private final ByteBuffer toCaller = ByteBuffer.allocate(BUFFER_BYTES);
+        private SocketChannel routerChannel;
+        private SelectionKey callerKey;
+        private SelectionKey routerKey;
+        private boolean isClosed;
+
+        Pair(SocketChannel caller) {
+            this.caller = caller;
+        }
+
+        /**
+         * Reads what the caller has sent; returns whether the caller has closed its connection.
+         *
+         * <p>Without this check, the request of a caller that has given up because nobody read it
+         * would still run.
+         */
+        boolean readCaller() throws IOException {
+            while (toRouter.hasRemaining()) {
+                int count = caller.read(toRouter);
+                if (count <= 0) {
+                    return count < 0;
+                }
+            }
+            return false;
+        }
+
+        void connect() throws IOException {
+            routerChannel = SocketChannel.open(router);
+            routerChannel.configureBlocking(false);
+            callerKey = caller.register(selector, 0, this);
+            routerKey = routerChannel.register(selector, 0, this);
+            forwardBytes();
+        }
+
+        /**
+         * Forwards the bytes that can be read and written now, and sets the operations to wait for.
+         *
+         * <p>The last bytes of a caller are forwarded only after a read has found nothing after
+         * them. If a close is read together with them, the pair is closed, and the router does not
+         * receive a complete request.
+         */
+        void forwardBytes() {
+            try {
+                if (readCaller()) {
+                    close();
+                    return;
+                }
+                write(toRouter, routerChannel);
+                boolean answered = routerChannel.read(toCaller) < 0;
+                write(toCaller, caller);
+                if (answered && toCaller.position() == 0) {
+                    close();
+                    return;
+                }
+                callerKey.interestOps(interest(toRouter, toCaller));
+                routerKey.interestOps(interest(toCaller, toRouter));
+            } catch (IOException e) {
+                LOG.debug("router: early connection closed, {}", e.getMessage());
+                close();
+            }
+        }
+
+        private void write(ByteBuffer buffer, SocketChannel to) throws IOException {
+            buffer.flip();
+            to.write(buffer);
+            buffer.compact();
+        }
+
+        /**
+         * Reads a channel while its buffer has space, and writes to it while the other buffer has
+         * bytes.
+         */
+        private int interest(ByteBuffer read, ByteBuffer written) {
+            int reads = read.hasRemaining() ? SelectionKey.OP_READ : 0;
+            int writes = written.position() > 0 ? SelectionKey.OP_WRITE : 0;
+            return reads | writes;
+        }
+
+        void close() {
+            if (!isClosed) {
+                isClosed = true;
+                openPairs--;
+            }
+            IoUtils.safeClose(caller);
+            IoUtils.safeClose(routerChannel);
+        }
+    }
+}
--- /dev/null
+++ b/masticweir/src/main/java/org/masticweir/relay/ExchangeCompletion.java
@@ -0,0 +1,69 @@
+package org.masticweir.relay;
+
+import static com.google.common.base.Preconditions.checkNotNull;
+
+import io.undertow.server.HttpServerExchange;
+import io.undertow.server.ServerConnection;
+import io.undertow.util.AttachmentKey;
+
+/**
+ * Notifies a listener when an exchange is complete: the last byte of its answer has been written,
+ * or its connection has been closed; runs on the traffic thread.
+ *
+ * <p>Without this, an answer counts as delivered while a part of it is still queued for a slow
+ * caller, and the process exits before that part is sent.
+ */
+final class ExchangeCompletion {
+    private static final AttachmentKey<ExchangeCompletion> KEY =
+            AttachmentKey.create(ExchangeCompletion.class);
+    private static final Runnable NO_OP = () -> {};
+
+    private Runnable listener = NO_OP;
+
+    private ExchangeCompletion() {}
+
+    /**
+     * Runs {@code listener} once when {@code exchange} is complete, and keeps {@code connections}
+     * up to date.
+     */
+    static void addListener(
+            HttpServerExchange exchange, KeepAliveConnections connections, Runnable listener) {
+        checkNotNull(listener, "listener");
+        ServerConnection connection = exchange.getConnection();
+        ExchangeCompletion completion = of(connection, connections);
+        completion.listener = listener;
+        connections.exchangeStarted(connection);
+        exchange.addExchangeCompleteListener(
+                (ex, next) -> {
+                    completion.notifyListener();
+                    if (connection.isOpen()) {
+                        connections.exchangeCompleted(connection);
+                    }
+                    next.proceed();
+                    connections.exchangeReleased();
+                });
+    }
+
+    /** One instance for all exchanges of a connection, as close listeners can't be removed. */
+    private static ExchangeCompletion of(
+            ServerConnection connection, KeepAliveConnections connections) {
+        ExchangeCompletion known = connection.getAttachment(KEY);
+        if (known != null) {
+            return known;
+        }
+        ExchangeCompletion created = new ExchangeCompletion();
+        connection.putAttachment(KEY, created);
+        connection.addCloseListener(
+                c -> {
+                    created.notifyListener();
+                    connections.connectionClosed(c);
+                });
+        return created;
+    }
+
+    private void notifyListener() {
+        Runnable current = listener;
+        listener = NO_OP;
+        current.run();
+    }
+}
--- a/masticweir/src/main/java/org/masticweir/relay/HedgedPeerRequest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/HedgedPeerRequest.java
@@ -14,27 +14,30 @@
 import org.masticweir.time.Clock;
 
 /**
- * Asks peers for one thing that any of them may give; owned by the control thread.
+ * Sends hedged requests to peers for a reply that any of them can give; owned by the control
+ * thread.
  *
- * <p>Failure guarded against: a reply is long and its link thin. If it were dropped when it comes
- * late and asked for anew, its sender would be kept busy with replies that nobody takes, and none
- * would ever come in time. So a reply counts whenever it comes, a peer is not asked again before it
- * has replied, and another one is asked as well after a while.
+ * <p>A reply may be long and its link slow. If a late reply were dropped and requested again, its
+ * sender would be busy with replies that nobody uses, and none would arrive in time. So a reply
+ * counts whenever it arrives, a peer is not asked again before it has replied, and a second peer is
+ * asked after a delay.
  */
 final class HedgedPeerRequest {
-    /** Time without a reply after which another peer is asked as well, in ms. */
+    /** Time without a reply after which a second peer is asked, in ms. */
     static final long HEDGE_DELAY_MS = 800;
 
-    /** Time after which a peer that is silent may be asked again, in ms. */
+    /** Time after which a peer that has not replied may be asked again, in ms. */
     static final long TIMEOUT_MS = 5_000;
 
-    /** Peers asked at a time: a third would slow down the replies of the two. */
-    private static final int MOST_ASKED = 2;
+    /**
+     * Limit on concurrently asked peers: a third one would slow down the replies of the other two.
+     */
+    private static final int MAX_ASKED_PEERS = 2;
 
     private final PeerSender links;
     private final Executor control;
     private final Clock clock;
-    private final Set<RouterId> asked = new HashSet<>();
+    private final Set<RouterId> askedPeers = new HashSet<>();
     private long lastAskMs;
 
     HedgedPeerRequest(PeerSender links, Executor control, Clock clock) {
@@ -44,14 +47,14 @@
     }
 
     /**
-     * Asks {@code peer}, unless it has yet to reply or another was asked a moment ago.
+     * Asks {@code peer}, unless it has not replied yet or another peer was asked a moment ago.
      *
-     * @param answered takes the reply, or nothing if none will come
+     * @param callback receives the reply, or nothing if none will arrive
      */
-    void ask(RouterId peer, PeerMessage question, Consumer<Optional<PeerMessage>> answered) {
+    void ask(RouterId peer, PeerMessage question, Consumer<Optional<PeerMessage>> callback) {
         long now = clock.nowMs();
-        boolean waits = !asked.isEmpty() && now - lastAskMs < HEDGE_DELAY_MS;
-        if (waits || asked.size() == MOST_ASKED || !asked.add(peer)) {
+        boolean isHedgeDelayed = !askedPeers.isEmpty() && now - lastAskMs < HEDGE_DELAY_MS;
+        if (isHedgeDelayed || askedPeers.size() == MAX_ASKED_PEERS || !askedPeers.add(peer)) {
             return;
         }
         lastAskMs = now;
@@ -61,8 +64,8 @@
                                 ControlThread.execute(
                                         control,
                                         () -> {
-                                            asked.remove(peer);
-                                            answered.accept(Optional.ofNullable(reply));
+                                            askedPeers.remove(peer);
+                                            callback.accept(Optional.ofNullable(reply));
                                         },
                                         "peers"));
     }
--- a/masticweir/src/main/java/org/masticweir/relay/InFlightRequests.java
+++ b/masticweir/src/main/java/org/masticweir/relay/InFlightRequests.java
@@ -10,26 +10,29 @@
 import org.masticweir.quarantine.SharedQuarantine;
 
 /**
- * The requests of a router that are under way, and what a change of the quarantine means for them;
- * owned by the traffic thread.
+ * The requests of a router that are in flight, and the effect of quarantine changes on them; owned
+ * by the traffic thread.
  */
 final class InFlightRequests {
     private final SharedQuarantine quarantine;
     private final Set<Request> requests = new LinkedHashSet<>();
-    private boolean ended;
+    private boolean isEnded;
 
-    /** A request under way. */
+    /** A request in flight. */
     interface Request {
         ContentId content();
 
-        /** Returns whether its server has run it for longer than a trial lasts. */
-        boolean runsWell();
+        /** Returns whether its server has run it for longer than the duration of a trial. */
+        boolean runsLongerThanTrial();
 
-        /** Its content was put into quarantine. */
-        void quarantined();
+        /** Notifies the request that its content was quarantined. */
+        void onQuarantined();
 
-        /** The router's process ends: the request is answered now, whatever it has come to. */
-        void routerEnds();
+        /**
+         * Notifies the request that the router's process exits; it must be answered now, whatever
+         * its state.
+         */
+        void onRouterExit();
     }
 
     InFlightRequests(SharedQuarantine quarantine) {
@@ -38,8 +41,8 @@
 
     void add(Request request) {
         requests.add(request);
-        if (ended) {
-            request.routerEnds();
+        if (isEnded) {
+            request.onRouterExit();
         }
     }
 
@@ -47,25 +50,26 @@
         requests.remove(request);
     }
 
-    /** Ends all of them, and each one that comes later, with an answer of its own. */
+    /** Ends all requests in flight, and each later one when it is added; each gets an answer. */
     void endAll() {
-        ended = true;
-        ImmutableList.copyOf(requests).forEach(Request::routerEnds);
+        isEnded = true;
+        ImmutableList.copyOf(requests).forEach(Request::onRouterExit);
     }
 
     /**
-     * Copies of a suspect content that run on speak for it. Copies of a quarantined one that have
-     * just begun would end their servers too.
+     * Applies a change of the quarantine to the requests with {@code content}. A copy of a suspect
+     * content that runs on is evidence for it. Copies of a quarantined content that have just
+     * started would end their servers too, so they are cancelled.
      */
     void onQuarantineChange(ContentId content, Change change) {
         ImmutableList<Request> copies =
                 requests.stream()
                         .filter(r -> r.content().equals(content))
                         .collect(ImmutableList.toImmutableList());
-        if (copies.stream().anyMatch(Request::runsWell)) {
+        if (copies.stream().anyMatch(Request::runsLongerThanTrial)) {
             quarantine.recordSuccess(() -> content);
         } else if (change == Change.QUARANTINED) {
-            copies.forEach(Request::quarantined);
+            copies.forEach(Request::onQuarantined);
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
@@ -10,43 +10,51 @@
 import org.masticweir.id.PromptId;
 
 /**
- * Asks engines which of them keeps a prompt, and takes the first that does; on the traffic thread.
+ * Asks engines in parallel whether they cache a prompt, and returns the first that does; runs on
+ * the traffic thread.
  */
 final class PromptSearch {
     private final PromptId prompt;
-    private final Consumer<Optional<BackendServer>> then;
-    private int awaited;
-    private boolean over;
+    private final Consumer<Optional<BackendServer>> callback;
+    private int pendingAnswers;
+    private boolean isEnded;
 
-    private PromptSearch(PromptId prompt, int asked, Consumer<Optional<BackendServer>> then) {
+    private PromptSearch(
+            PromptId prompt, int askedCount, Consumer<Optional<BackendServer>> callback) {
         this.prompt = checkNotNull(prompt, "prompt");
-        this.then = checkNotNull(then, "then");
-        awaited = asked;
+        this.callback = checkNotNull(callback, "callback");
+        pendingAnswers = askedCount;
     }
 
-    /** Tells {@code then}, once, which of {@code engines} keeps {@code prompt}; nothing if none. */
-    static void among(
+    /**
+     * Calls {@code callback} once with the first of {@code engines} that is found to cache {@code
+     * prompt}, or with nothing if none does.
+     */
+    static void start(
             ImmutableList<BackendServer> engines,
-            PromptCacheClient kept,
+            PromptCacheClient client,
             PromptId prompt,
-            Consumer<Optional<BackendServer>> then) {
-        PromptSearch search = new PromptSearch(prompt, engines.size(), then);
-        engines.forEach(e -> kept.of(e).thenAccept(prompts -> search.answered(e, prompts)));
+            Consumer<Optional<BackendServer>> callback) {
+        PromptSearch search = new PromptSearch(prompt, engines.size(), callback);
+        engines.forEach(
+                e ->
+                        client.cachedPrompts(e)
+                                .thenAccept(prompts -> search.handleAnswer(e, prompts)));
     }
 
-    private void answered(BackendServer engine, ImmutableSet<PromptId> prompts) {
-        awaited--;
+    private void handleAnswer(BackendServer engine, ImmutableSet<PromptId> prompts) {
+        pendingAnswers--;
         if (prompts.contains(prompt)) {
             end(Optional.of(engine));
-        } else if (awaited == 0) {
+        } else if (pendingAnswers == 0) {
             end(Optional.empty());
         }
     }
 
-    private void end(Optional<BackendServer> keeper) {
-        if (!over) {
-            over = true;
-            then.accept(keeper);
+    private void end(Optional<BackendServer> engine) {
+        if (!isEnded) {
+            isEnded = true;
+            callback.accept(engine);
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/SendListener.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SendListener.java
@@ -4,26 +4,26 @@
 import java.util.OptionalLong;
 import org.masticweir.http.HttpHead;
 
-/** Hears how one send to a server goes; the last call is one of the ends. */
+/** Receives the events of one send to a server; the last call is one of the end events. */
 interface SendListener {
-    /** The head of an answer to this request came, from the server that was meant. */
-    void head(AnswerMetadata word);
+    /** The head of an answer to this request arrived from the intended server. */
+    void onHead(AnswerMetadata metadata);
 
-    /** An event of a series came whole. */
-    void event(HttpHead head, ByteBuffer bytes, OptionalLong id);
+    /** A complete event of a stream arrived. */
+    void onEvent(HttpHead head, ByteBuffer bytes, OptionalLong id);
 
-    /** End: the series of events is complete. */
-    void eventsEnded(HttpHead head);
+    /** End: the stream is complete. */
+    void onStreamEnd(HttpHead head);
 
-    /** End: a whole answer. */
-    void answered(HttpHead head, AnswerMetadata word, byte[] body);
+    /** End: the complete answer arrived. */
+    void onAnswer(HttpHead head, AnswerMetadata metadata, byte[] body);
 
-    /** End: the server says that it did not run the request. */
-    void refused(HttpHead head, AnswerMetadata word);
+    /** End: the server reports that it did not run the request. */
+    void onRefusal(HttpHead head, AnswerMetadata metadata);
 
-    /** End: nothing has left this process. */
-    void notSent();
+    /** End: the request has not left this process. */
+    void onNotSent();
 
-    /** End: the request was sent, and no answer that can be used will come. */
-    void lost(String reason);
+    /** End: the request was sent, and no usable answer will arrive. */
+    void onLost(String reason);
 }
--- a/masticweir/src/main/java/org/masticweir/relay/SharedRetryPermits.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SharedRetryPermits.java
@@ -10,34 +10,35 @@
 import org.masticweir.permits.SharedPermits;
 import org.masticweir.time.Clock;
 
-/** Permits for repeats beyond what a router's own requests allow; owned by the traffic thread. */
+/** Permits for retries beyond what a router's own requests allow; owned by the traffic thread. */
 final class SharedRetryPermits {
-    private final ServiceRetryBudgets repeats;
+    private final ServiceRetryBudgets retryBudgets;
     private final SharedPermits permits;
     private final Clock clock;
 
-    SharedRetryPermits(ServiceRetryBudgets repeats, SharedPermits permits, Clock clock) {
-        this.repeats = checkNotNull(repeats, "repeats");
+    SharedRetryPermits(ServiceRetryBudgets retryBudgets, SharedPermits permits, Clock clock) {
+        this.retryBudgets = checkNotNull(retryBudgets, "retryBudgets");
         this.permits = checkNotNull(permits, "permits");
         this.clock = checkNotNull(clock, "clock");
     }
 
     /**
-     * Asks for a permit to send one request again.
+     * Requests a permit to retry one request.
      *
-     * @param urgency 0 for the first to be served
-     * @param then hears the decision on the traffic thread
+     * @param urgency rank of the request; 0 is served first
+     * @param callback receives the decision on the traffic thread
      */
-    void ask(ServiceName service, int urgency, Consumer<PermitDecision> then) {
+    void request(ServiceName service, int urgency, Consumer<PermitDecision> callback) {
         permits.request(
                 PermitKey.ofRepeats(service),
                 urgency,
-                repeats.allowance().orElseThrow(),
+                retryBudgets.allowance().orElseThrow(),
                 decision -> {
                     if (!decision.isGranted()) {
-                        repeats.suspendPermits(service, clock.nowMs() + decision.retryAfterMs());
+                        retryBudgets.suspendPermits(
+                                service, clock.nowMs() + decision.retryAfterMs());
                     }
-                    then.accept(decision);
+                    callback.accept(decision);
                 });
     }
 }
--- a/masticweir/src/test/java/org/masticweir/relay/EventSplitterTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/EventSplitterTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Only whole events leave the splitter. */
+/** The splitter passes on complete events only. */
 class EventSplitterTest {
     private static final String THREE =
             "id: 7\ndata: a\n\nx-version: 2\nid: 8\r\ndata: b\r\n\r\ndata: no id\n\n";
@@ -29,7 +29,7 @@
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i < bytes.length; i += step) {
             ByteBuffer part = ByteBuffer.wrap(bytes, i, Math.min(step, bytes.length - i));
-            splitter.take(
+            splitter.feed(
                     part,
                     (event, id) -> {
                         events.add(StandardCharsets.UTF_8.decode(event).toString());
@@ -39,9 +39,9 @@
         return splitter;
     }
 
-    /** However the bytes are cut on their way, the same events come out, byte for byte. */
+    /** The events are the same, byte for byte, however the bytes are divided in transit. */
     @Property
-    void givesTheSameEventsHoweverTheBytesAreCut(@ForAll @IntRange(min = 1, max = 80) int step)
+    void emitsTheSameEventsHoweverTheBytesAreDivided(@ForAll @IntRange(min = 1, max = 80) int step)
             throws IOException {
         events.clear();
         ids.clear();
@@ -52,18 +52,18 @@
     }
 
     /**
-     * A report shows half a sentence twice: its server stopped in the middle of an event, the part
-     * was passed on, and the next server began with that event.
+     * Guards against half a sentence appearing twice in a report: a server stopped in the middle of
+     * an event, the part was passed on, and the next server started with that event.
      */
     @Test
-    void keepsTheBeginningOfAnEventThatNeverEnds() throws IOException {
+    void holdsBackAnIncompleteEvent() throws IOException {
         EventSplitter splitter = split("id: 1\ndata: a\n\nid: 2\ndata: ha", 5);
         assertEquals(1, events.size());
         assertFalse(splitter.isAtEventEnd());
     }
 
     @Test
-    void givesUpOnAnEventWithoutEnd() {
+    void rejectsAnEventThatIsTooLong() {
         assertThrows(
                 IOException.class,
                 () -> split("x".repeat(EventSplitter.MAX_EVENT_BYTES + 1), 4096));
