--- a/masticweir/src/main/java/org/masticweir/relay/AwaitedCatalog.java
+++ b/masticweir/src/main/java/org/masticweir/relay/AwaitedCatalog.java
@@ -6,17 +6,17 @@
  */
 final class AwaitedCatalog {
     private long version;
-    private long firstHeardMs;
-    private long lastHeardMs;
+    private long firstReportMs;
+    private long lastReportMs;
 
     /** Takes note that a peer holds {@code newer}. */
-    void heardOf(long newer, long nowMs) {
+    void recordReport(long newer, long nowMs) {
         if (newer > version) {
             version = newer;
-            firstHeardMs = nowMs;
+            firstReportMs = nowMs;
         }
         if (newer == version) {
-            lastHeardMs = nowMs;
+            lastReportMs = nowMs;
         }
     }
 
@@ -27,13 +27,13 @@
 
     /** Returns for how long a version newer than {@code held} has been awaited, in ms, or 0. */
     long waitedMs(long held, long nowMs) {
-        return version > held ? nowMs - firstHeardMs : 0;
+        return version > held ? nowMs - firstReportMs : 0;
     }
 
     /**
      * Returns whether peers have named a version newer than {@code held} in the last {@code ms}.
      */
-    boolean isAwaited(long held, long nowMs, long ms) {
-        return version > held && nowMs - lastHeardMs <= ms;
+    boolean isAwaited(long held, long nowMs, long windowMs) {
+        return version > held && nowMs - lastReportMs <= windowMs;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/CatalogTexts.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CatalogReplies.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.masticweir.config.DocumentEdit;
 import org.masticweir.config.RecentTexts;
-import org.masticweir.relay.Deployment.CatalogText;
+import org.masticweir.relay.DeploymentState.CatalogText;
 import org.masticweir.relay.RelayMessages.CatalogReply;
 import org.masticweir.relay.RelayMessages.CatalogRequest;
 
@@ -16,39 +16,39 @@
  * over thin links. Who holds one of the last versions gets what has changed, anybody else the whole
  * as an edit of no text; either is packed once for all.
  */
-final class CatalogTexts {
+final class CatalogReplies {
     private static final long NO_VERSION = 0;
 
     private final RecentTexts recent = new RecentTexts();
-    private final Map<Long, PackedEdit> packed = new HashMap<>();
+    private final Map<Long, PackedEdit> packedEdits = new HashMap<>();
     private Optional<CatalogText> latest = Optional.empty();
 
     /** Takes the catalog in force; one that is known already changes nothing. */
-    void inForce(CatalogText text) {
+    void add(CatalogText text) {
         if (latest.filter(l -> l.version() >= text.version()).isPresent()) {
             return;
         }
         latest = Optional.of(text);
         recent.add(text.version(), text.text());
-        packed.clear();
+        packedEdits.clear();
     }
 
     /** Returns what a peer is given. */
-    CatalogReply offer(CatalogRequest ask) {
-        Optional<CatalogText> newer = latest.filter(l -> l.version() > ask.newerThan());
+    CatalogReply replyTo(CatalogRequest request) {
+        Optional<CatalogText> newer = latest.filter(l -> l.version() > request.newerThan());
         if (newer.isEmpty()) {
             return CatalogReply.nothing();
         }
-        if (!ask.takesEdits()) {
+        if (!request.takesEdits()) {
             return CatalogReply.whole(newer.get().text());
         }
-        return CatalogReply.edit(packedFor(ask.newerThan(), newer.get()));
+        return CatalogReply.edit(packedEditFor(request.newerThan(), newer.get()));
     }
 
-    private PackedEdit packedFor(long known, CatalogText newest) {
-        Optional<DocumentEdit> edit = recent.editOf(known);
-        return packed.computeIfAbsent(
-                edit.isPresent() ? known : NO_VERSION,
+    private PackedEdit packedEditFor(long heldVersion, CatalogText newest) {
+        Optional<DocumentEdit> edit = recent.editOf(heldVersion);
+        return packedEdits.computeIfAbsent(
+                edit.isPresent() ? heldVersion : NO_VERSION,
                 v -> PackedEdit.of(edit.orElseGet(() -> DocumentEdit.whole(newest.text()))));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/CatalogSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CatalogSharing.java
@@ -28,35 +28,35 @@
     private static final long NO_VERSION = 0;
 
     /** Wait for a version that peers hold after which a line says so, in ms. */
-    private static final long LATE_MS = 2_000;
+    private static final long LATE_AFTER_MS = 2_000;
 
     private static final long WINDOW_MS = 60_000;
 
-    private final Deployment deployment;
-    private final HedgedPeerRequest asks;
-    private final CatalogTexts texts = new CatalogTexts();
-    private final Counter offers;
-    private final Counter offeredBytes;
+    private final DeploymentState deployment;
+    private final HedgedPeerRequest requests;
+    private final CatalogReplies texts = new CatalogReplies();
+    private final Counter repliesSent;
+    private final Counter bytesSent;
     private final Counter unanswered;
     private final Histogram awaitedMs;
-    private Consumer<RouterId> onNewer = peer -> {};
-    private boolean wantsWhole;
+    private Consumer<RouterId> onNewerVersion = peer -> {};
+    private boolean needsFullText;
 
     /** Newest version whose text came and did not become the one in force; it isn't asked for. */
-    private long notUnderstood;
+    private long rejectedVersion;
 
-    private long saidLate;
+    private long loggedLateVersion;
 
     CatalogSharing(
             PeerSender links,
-            Deployment deployment,
+            DeploymentState deployment,
             Executor control,
             Clock clock,
             MetricRegistry metrics) {
         this.deployment = checkNotNull(deployment, "deployment");
-        asks = new HedgedPeerRequest(links, control, clock);
-        offers = metrics.counter(MetricName.of("catalog_offers_total"));
-        offeredBytes = metrics.counter(MetricName.of("catalog_offered_bytes_total"));
+        requests = new HedgedPeerRequest(links, control, clock);
+        repliesSent = metrics.counter(MetricName.of("catalog_offers_total"));
+        bytesSent = metrics.counter(MetricName.of("catalog_offered_bytes_total"));
         unanswered = metrics.counter(MetricName.of("catalog_asks_unanswered_total"));
         awaitedMs =
                 metrics.histogram(
@@ -65,47 +65,48 @@
     }
 
     /** Sets what hears of each newer version that a peer has given. */
-    void onNewer(Consumer<RouterId> listener) {
-        onNewer = checkNotNull(listener, "listener");
+    void onNewerVersion(Consumer<RouterId> listener) {
+        onNewerVersion = checkNotNull(listener, "listener");
     }
 
     /** Keeps the catalog that has come in force, for peers that ask. */
-    void changed() {
-        deployment.catalogText().ifPresent(texts::inForce);
+    void recordCatalog() {
+        deployment.catalogText().ifPresent(texts::add);
     }
 
     /** Asks a peer for the version that it has said it holds, if that is newer. */
-    void heardOf(RouterId peer, long version) {
-        deployment.heardOf(version);
-        if (version > Math.max(deployment.catalogVersion(), notUnderstood)) {
-            long held = wantsWhole ? NO_VERSION : deployment.catalogVersion();
-            String base = heldText();
-            asks.ask(
+    void handleVersion(RouterId peer, long version) {
+        deployment.recordVersion(version);
+        if (version > Math.max(deployment.catalogVersion(), rejectedVersion)) {
+            long heldVersion = needsFullText ? NO_VERSION : deployment.catalogVersion();
+            String base = currentText();
+            requests.ask(
                     peer,
-                    new CatalogRequest(held, true),
-                    reply -> answered(peer, version, base, reply));
+                    new CatalogRequest(heldVersion, true),
+                    reply -> handleReply(peer, version, base, reply));
         }
     }
 
-    private void answered(RouterId peer, long version, String base, Optional<PeerMessage> reply) {
+    private void handleReply(
+            RouterId peer, long version, String base, Optional<PeerMessage> reply) {
         if (reply.isEmpty()) {
             unanswered.inc();
             LOG.info("config: {} did not give its newer version", peer);
             return;
         }
-        CatalogReply offer = (CatalogReply) reply.get();
+        CatalogReply catalog = (CatalogReply) reply.get();
         long waitedMs = deployment.catalogAwaitedMs();
-        Optional<String> text = textOf(peer, base, offer);
+        Optional<String> text = textOf(peer, base, catalog);
         if (text.isEmpty()) {
             return;
         }
         if (deployment.catalogText(text.get(), peer.value())) {
             awaitedMs.update(waitedMs);
-            changed();
-            onNewer.accept(peer);
-            heardOf(peer, deployment.awaitedVersion());
+            recordCatalog();
+            onNewerVersion.accept(peer);
+            handleVersion(peer, deployment.awaitedVersion());
         } else {
-            notUnderstood = version;
+            rejectedVersion = version;
         }
     }
 
@@ -114,34 +115,34 @@
      *
      * @param base the text that was held when the peer was asked
      */
-    private Optional<String> textOf(RouterId peer, String base, CatalogReply offer) {
-        if (offer.edit().isEmpty()) {
-            return Optional.of(offer.text()).filter(text -> !text.isEmpty());
+    private Optional<String> textOf(RouterId peer, String base, CatalogReply reply) {
+        if (reply.edit().isEmpty()) {
+            return Optional.of(reply.text()).filter(text -> !text.isEmpty());
         }
         Optional<String> text = Optional.empty();
         try {
-            text = offer.edit().get().unpack().applyTo(base);
+            text = reply.edit().get().unpack().applyTo(base);
         } catch (IllegalArgumentException e) {
             LOG.error("config: the version of {} is not understood, {}", peer, e.getMessage());
         }
-        wantsWhole = text.isEmpty();
-        if (wantsWhole) {
+        needsFullText = text.isEmpty();
+        if (needsFullText) {
             LOG.info("config: the edit of {} fits another text, the whole is asked for", peer);
         }
         return text;
     }
 
-    private String heldText() {
-        return deployment.catalogText().map(Deployment.CatalogText::text).orElse("");
+    private String currentText() {
+        return deployment.catalogText().map(DeploymentState.CatalogText::text).orElse("");
     }
 
     /** Says once of each version that it is late. */
     void tick() {
         long version = deployment.awaitedVersion();
-        if (deployment.catalogAwaitedMs() < LATE_MS || version == saidLate) {
+        if (deployment.catalogAwaitedMs() < LATE_AFTER_MS || version == loggedLateVersion) {
             return;
         }
-        saidLate = version;
+        loggedLateVersion = version;
         LOG.warn(
                 "config: version {} is awaited for {} ms, {} is in force, {} asks unanswered so far",
                 version,
@@ -151,10 +152,10 @@
     }
 
     /** Gives a peer the catalog if it is newer than the peer's. */
-    void offer(CatalogRequest ask, Reply reply) {
-        CatalogReply offer = texts.offer(ask);
-        offers.inc();
-        offeredBytes.inc(offer.length());
-        reply.send(offer);
+    void handleRequest(CatalogRequest request, Reply reply) {
+        CatalogReply catalog = texts.replyTo(request);
+        repliesSent.inc();
+        bytesSent.inc(catalog.length());
+        reply.send(catalog);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/ControlThread.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ControlExecutor.java
@@ -16,10 +16,10 @@
  * router goes on with what it last knew and no line says so. Here each error is logged, and
  * periodic steps go on.
  */
-final class ControlThread extends ScheduledThreadPoolExecutor {
-    private static final Logger LOG = LogManager.getLogger(ControlThread.class);
+final class ControlExecutor extends ScheduledThreadPoolExecutor {
+    private static final Logger LOG = LogManager.getLogger(ControlExecutor.class);
 
-    ControlThread() {
+    ControlExecutor() {
         super(1, step -> new Thread(step, "control"));
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/Deployment.java
+++ b/masticweir/src/main/java/org/masticweir/relay/DeploymentState.java
@@ -16,8 +16,8 @@
 import org.masticweir.catalog.ServerBook;
 import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.id.EngineId;
-import org.masticweir.relay.RelayMessages.ServerNews;
-import org.masticweir.relay.RelayMessages.ServersAsk;
+import org.masticweir.relay.RelayMessages.ServerUpdates;
+import org.masticweir.relay.RelayMessages.ServersRequest;
 import org.masticweir.store.FeedOutcome;
 import org.masticweir.time.Clock;
 
@@ -28,61 +28,61 @@
  * <p>The newest version of the catalog and the newest word on each server win, whoever brings them;
  * nothing ever goes back to an older one.
  */
-final class Deployment {
-    private static final Logger LOG = LogManager.getLogger(Deployment.class);
+final class DeploymentState {
+    private static final Logger LOG = LogManager.getLogger(DeploymentState.class);
 
     /**
      * Age of the last word on the catalog up to which a router denies what it does not know, in ms:
      * longer than the store's waits and shorter than the time a change may take on a router that is
      * cut off.
      */
-    static final long SURE_MS = 6_000;
+    static final long FRESH_MS = 6_000;
 
     private final DeploymentFormat form;
     private final Clock clock;
-    private final UnreadableRows unreadable;
+    private final UnreadableRows unreadableRows;
     private final ServerBook book = ServerBook.create();
     private final Consumer<RelayView> publish;
     private Optional<CatalogText> catalogText = Optional.empty();
     private Optional<Catalog> catalog = Optional.empty();
-    private long confirmedMs = Long.MIN_VALUE / 2;
+    private long lastConfirmedMs = Long.MIN_VALUE / 2;
     private final AwaitedCatalog awaited = new AwaitedCatalog();
-    private final WordsKnown words = new WordsKnown();
-    private long doubtUntilMs = Long.MIN_VALUE / 2;
-    private boolean wasSure;
+    private final UpdateProgress progress = new UpdateProgress();
+    private long removalsPendingUntilMs = Long.MIN_VALUE / 2;
+    private boolean wasFresh;
 
     /**
      * What words of a peer were here.
      *
-     * @param complete whether no word before them is missing
-     * @param news whether they changed what is believed
+     * @param isComplete whether no word before them is missing
+     * @param hasChanges whether they changed what is believed
      */
-    record Told(boolean complete, boolean news) {}
+    record UpdateResult(boolean isComplete, boolean hasChanges) {}
 
     /** The catalog as it stands in the store. */
     record CatalogText(long version, String text) {}
 
-    Deployment(
+    DeploymentState(
             DeploymentFormat form,
             Clock clock,
             UnreadableRows unreadable,
             Consumer<RelayView> publish) {
         this.form = checkNotNull(form, "form");
         this.clock = checkNotNull(clock, "clock");
-        this.unreadable = checkNotNull(unreadable, "unreadable");
+        this.unreadableRows = checkNotNull(unreadable, "unreadable");
         this.publish = checkNotNull(publish, "publish");
     }
 
     /** Takes rows of the catalog's table; returns whether a newer version came. */
-    boolean catalogRows(FeedOutcome.Rows rows) {
-        confirmed();
+    boolean applyCatalogRows(FeedOutcome.Rows rows) {
+        recordConfirmation();
         boolean newer = false;
         for (FeedOutcome.Change change : rows.changes()) {
             if (change.key().equals(form.catalogRow()) && !change.removed()) {
                 newer |= catalogText(change.value().orElse(""), "store");
             }
         }
-        publishIfSurenessChanged();
+        publishIfFreshnessChanged();
         return newer;
     }
 
@@ -92,33 +92,33 @@
      * @param source who brought it, for the log
      */
     boolean catalogText(String text, String source) {
-        Catalog read;
+        Catalog parsed;
         try {
-            read = form.catalog(text);
+            parsed = form.catalog(text);
         } catch (IllegalArgumentException e) {
             LOG.error("config: a version from {} is not understood, {}", source, e.getMessage());
             return false;
         }
-        if (catalog.isPresent() && read.version() <= catalog.get().version()) {
+        if (catalog.isPresent() && parsed.version() <= catalog.get().version()) {
             return false;
         }
         LOG.info(
                 "config: version {} from {} is in force, after {}, awaited for {} ms, {} characters",
-                read.version(),
+                parsed.version(),
                 source,
                 catalogVersion(),
                 awaited.waitedMs(catalogVersion(), clock.nowMs()),
                 text.length());
-        catalog = Optional.of(read);
-        catalogText = Optional.of(new CatalogText(read.version(), text));
+        catalog = Optional.of(parsed);
+        catalogText = Optional.of(new CatalogText(parsed.version(), text));
         publishView();
         return true;
     }
 
     /** Takes note that a peer holds {@code version} of the catalog. */
-    void heardOf(long version) {
-        awaited.heardOf(version, clock.nowMs());
-        publishIfSurenessChanged();
+    void recordVersion(long version) {
+        awaited.recordReport(version, clock.nowMs());
+        publishIfFreshnessChanged();
     }
 
     /** Returns for how long a version that peers hold has been awaited, in ms; 0 if none is. */
@@ -137,8 +137,8 @@
     }
 
     /** Someone who hears the store has no newer catalog. */
-    void confirmed() {
-        confirmedMs = clock.nowMs();
+    void recordConfirmation() {
+        lastConfirmedMs = clock.nowMs();
     }
 
     /**
@@ -146,13 +146,14 @@
      *
      * @param since the revision after which these are all changes; empty if they are all rows
      */
-    Optional<ServerNews> serverRows(FeedOutcome.Rows rows, OptionalLong since, long removalDueMs) {
-        List<ServerWordNews> news = new ArrayList<>();
+    Optional<ServerUpdates> applyServerRows(
+            FeedOutcome.Rows rows, OptionalLong since, long removalDueMs) {
+        List<ServerUpdate> updates = new ArrayList<>();
         long now = clock.nowMs();
-        doubtUntilMs = Math.max(doubtUntilMs, removalDueMs);
+        removalsPendingUntilMs = Math.max(removalsPendingUntilMs, removalDueMs);
         List<EngineId> listed = new ArrayList<>();
         boolean changed = false;
-        long newest = WordsKnown.START;
+        long newest = UpdateProgress.START;
         for (FeedOutcome.Change change : rows.changes()) {
             newest = Math.max(newest, change.revision());
             Optional<EngineId> id = idOf(change);
@@ -160,112 +161,117 @@
                 continue;
             }
             if (change.removed()) {
-                remove(id.get(), change.revision(), removalDueMs, news);
+                remove(id.get(), change.revision(), removalDueMs, updates);
                 continue;
             }
-            Optional<BackendServer> server = read(id.get(), change);
+            Optional<BackendServer> server = parseServer(id.get(), change);
             if (server.isPresent()) {
                 listed.add(id.get());
-                put(server.get(), change.revision(), news);
+                put(server.get(), change.revision(), updates);
             } else {
                 // What the row said before is replaced. A server that lives writes it again soon.
-                remove(id.get(), change.revision(), now, news);
+                remove(id.get(), change.revision(), now, updates);
             }
         }
         if (since.isEmpty()) {
             changed = book.retain(listed, rows.revision(), now, removalDueMs);
             newest = rows.revision();
         }
-        long before = words.newest();
-        words.read(rows.revision(), newest);
-        tell(news, "store");
-        if (changed || !news.isEmpty()) {
+        long before = progress.newest();
+        progress.recordReading(rows.revision(), newest);
+        logUpdates(updates, "store");
+        if (changed || !updates.isEmpty()) {
             publishView();
         }
-        return since.isEmpty() || news.isEmpty() ? Optional.empty() : Optional.of(after(before));
+        return since.isEmpty() || updates.isEmpty()
+                ? Optional.empty()
+                : Optional.of(updatesAfter(before));
     }
 
     /** Takes words of a peer; returns what they were here. */
-    Told peerWords(ServerNews told, String peer) {
-        List<ServerWordNews> news = new ArrayList<>();
-        long dueMs = clock.nowMs() + told.doubtMs();
-        doubtUntilMs = Math.max(doubtUntilMs, dueMs);
+    UpdateResult applyPeerUpdates(ServerUpdates message, String peer) {
+        List<ServerUpdate> updates = new ArrayList<>();
+        long dueMs = clock.nowMs() + message.removalDelayMs();
+        removalsPendingUntilMs = Math.max(removalsPendingUntilMs, dueMs);
         List<EngineId> listed = new ArrayList<>();
-        long newest = told.after();
+        long newest = message.after();
         boolean changed = false;
-        for (ServerWordNews word : told.words()) {
-            newest = Math.max(newest, word.revision());
-            if (word.server().isPresent()) {
-                listed.add(word.id());
-                put(word.server().get(), word.revision(), news);
+        for (ServerUpdate update : message.updates()) {
+            newest = Math.max(newest, update.revision());
+            if (update.server().isPresent()) {
+                listed.add(update.id());
+                put(update.server().get(), update.revision(), updates);
             } else {
-                remove(word.id(), word.revision(), dueMs, news);
+                remove(update.id(), update.revision(), dueMs, updates);
             }
         }
-        if (told.isWhole()) {
-            changed = book.retain(listed, told.completeTo(), clock.nowMs(), dueMs);
+        if (message.isFullList()) {
+            changed = book.retain(listed, message.completeTo(), clock.nowMs(), dueMs);
         }
-        boolean complete = words.told(told.after(), told.completeTo(), newest);
-        tell(news, peer);
-        if (changed || !news.isEmpty()) {
+        boolean complete = progress.recordUpdates(message.after(), message.completeTo(), newest);
+        logUpdates(updates, peer);
+        if (changed || !updates.isEmpty()) {
             publishView();
         }
-        return new Told(complete, changed || !news.isEmpty());
+        return new UpdateResult(complete, changed || !updates.isEmpty());
     }
 
     /**
      * Takes note that a peer knows no word after {@code newest} up to {@code completeTo}; returns
      * whether none up to there is missing here.
      */
-    boolean peerKnows(long newest, long completeTo) {
-        return words.told(newest, completeTo, WordsKnown.START);
+    boolean recordPeerProgress(long newest, long completeTo) {
+        return progress.recordUpdates(newest, completeTo, UpdateProgress.START);
     }
 
     /** Returns the revision of the newest word on a server. */
-    long newestWord() {
-        return words.newest();
+    long newestUpdate() {
+        return progress.newest();
     }
 
     /** Returns the revision up to which all words on servers are known. */
     long completeTo() {
-        return words.completeTo();
+        return progress.completeTo();
     }
 
     /** Returns all words on servers after {@code revision}, or all servers there are. */
-    ServerNews after(long revision) {
-        long doubtMs = Math.max(0, doubtUntilMs - clock.nowMs());
-        Optional<ImmutableList<ServerWordNews>> after =
-                revision == WordsKnown.START
+    ServerUpdates updatesAfter(long revision) {
+        long delayMs = Math.max(0, removalsPendingUntilMs - clock.nowMs());
+        Optional<ImmutableList<ServerUpdate>> after =
+                revision == UpdateProgress.START
                         ? Optional.empty()
-                        : book.wordsAfter(revision).map(Deployment::words);
-        return after.map(w -> new ServerNews(revision, words.completeTo(), doubtMs, w))
+                        : book.wordsAfter(revision).map(DeploymentState::toUpdates);
+        return after.map(u -> new ServerUpdates(revision, progress.completeTo(), delayMs, u))
                 .orElseGet(
                         () ->
-                                new ServerNews(
-                                        WordsKnown.START,
-                                        words.completeTo(),
-                                        doubtMs,
-                                        allServers()));
+                                new ServerUpdates(
+                                        UpdateProgress.START,
+                                        progress.completeTo(),
+                                        delayMs,
+                                        presentServers()));
     }
 
     /** Returns what a peer lacks that knows all words up to what {@code ask} says. */
-    ServerNews answer(ServersAsk ask) {
-        ServerNews after = after(ask.completeTo());
-        if (after.isWhole() && ask.digest() == book.digest()) {
-            return new ServerNews(
-                    ask.completeTo(), after.completeTo(), after.doubtMs(), ImmutableList.of());
+    ServerUpdates replyTo(ServersRequest request) {
+        ServerUpdates after = updatesAfter(request.completeTo());
+        if (after.isFullList() && request.digest() == book.digest()) {
+            return new ServerUpdates(
+                    request.completeTo(),
+                    after.completeTo(),
+                    after.removalDelayMs(),
+                    ImmutableList.of());
         }
         return after;
     }
 
     /** Returns the question for words that are missing here. */
-    ServersAsk ask() {
-        return new ServersAsk(words.completeTo(), book.digest());
+    ServersRequest updatesRequest() {
+        return new ServersRequest(progress.completeTo(), book.digest());
     }
 
-    private static ImmutableList<ServerWordNews> words(List<ServerBook.Word> words) {
+    private static ImmutableList<ServerUpdate> toUpdates(List<ServerBook.Word> words) {
         return words.stream()
-                .map(w -> new ServerWordNews(w.id(), w.revision(), w.server()))
+                .map(w -> new ServerUpdate(w.id(), w.revision(), w.server()))
                 .collect(ImmutableList.toImmutableList());
     }
 
@@ -275,7 +281,7 @@
             LOG.info("instances: entries that lapsed did not come back, {} left", serverCount());
             publishView();
         }
-        publishIfSurenessChanged();
+        publishIfFreshnessChanged();
     }
 
     Optional<CatalogText> catalogText() {
@@ -283,10 +289,10 @@
     }
 
     /** Those whose removal is doubted are left out: who lacks them doubts the removal as well. */
-    private List<ServerWordNews> allServers() {
-        List<ServerWordNews> all = new ArrayList<>();
+    private List<ServerUpdate> presentServers() {
+        List<ServerUpdate> all = new ArrayList<>();
         for (ServerBook.Word word : book.words()) {
-            word.server().ifPresent(s -> all.add(ServerWordNews.present(s, word.revision())));
+            word.server().ifPresent(s -> all.add(ServerUpdate.present(s, word.revision())));
         }
         return all;
     }
@@ -300,16 +306,16 @@
         return book.servers().size();
     }
 
-    private void put(BackendServer server, long revision, List<ServerWordNews> news) {
+    private void put(BackendServer server, long revision, List<ServerUpdate> updates) {
         if (book.put(server, revision)) {
-            news.add(ServerWordNews.present(server, revision));
+            updates.add(ServerUpdate.present(server, revision));
         }
     }
 
     /** A removal that is not due yet is no news; peers that ask are told of it with its doubt. */
-    private void remove(EngineId id, long revision, long dueMs, List<ServerWordNews> news) {
+    private void remove(EngineId id, long revision, long dueMs, List<ServerUpdate> updates) {
         if (book.remove(id, revision, clock.nowMs(), dueMs)) {
-            news.add(ServerWordNews.removed(id, revision));
+            updates.add(ServerUpdate.removed(id, revision));
         }
     }
 
@@ -317,7 +323,7 @@
         try {
             return Optional.of(EngineId.of(change.key().key()));
         } catch (IllegalArgumentException e) {
-            unreadable.found(change.key(), change.revision(), e.getMessage());
+            unreadableRows.report(change.key(), change.revision(), e.getMessage());
             return Optional.empty();
         }
     }
@@ -329,47 +335,48 @@
      * beyond its range, takes requests to an address where no server is, or ends the following of
      * the table.
      */
-    private Optional<BackendServer> read(EngineId id, FeedOutcome.Change change) {
+    private Optional<BackendServer> parseServer(EngineId id, FeedOutcome.Change change) {
         try {
             checkArgument(change.value().isPresent(), "it holds no text");
             BackendServer server = form.server(id, change.value().get());
-            boolean startWasTold =
+            boolean hadStartTime =
                     book.lifeOf(id).filter(ServerIncarnation::isStartKnown).isPresent();
             checkArgument(
-                    server.incarnation().isStartKnown() || !startWasTold,
+                    server.incarnation().isStartKnown() || !hadStartTime,
                     "no start time, though it had one before");
             return Optional.of(server);
         } catch (IllegalArgumentException e) {
-            unreadable.found(change.key(), change.revision(), e.getMessage());
+            unreadableRows.report(change.key(), change.revision(), e.getMessage());
             return Optional.empty();
         }
     }
 
-    private static void tell(List<ServerWordNews> news, String source) {
-        for (ServerWordNews word : news) {
+    private static void logUpdates(List<ServerUpdate> updates, String source) {
+        for (ServerUpdate update : updates) {
             LOG.info(
                     "instances: {} {}, revision {} from {}",
-                    word.id(),
-                    word.state(),
-                    word.revision(),
+                    update.id(),
+                    update.describe(),
+                    update.revision(),
                     source);
         }
     }
 
     /** Who knows of a newer catalog denies nothing by the one it has. */
-    private boolean isSure() {
+    private boolean isCatalogFresh() {
         long now = clock.nowMs();
-        return now - confirmedMs <= SURE_MS && !awaited.isAwaited(catalogVersion(), now, SURE_MS);
+        return now - lastConfirmedMs <= FRESH_MS
+                && !awaited.isAwaited(catalogVersion(), now, FRESH_MS);
     }
 
-    private void publishIfSurenessChanged() {
-        if (isSure() != wasSure) {
+    private void publishIfFreshnessChanged() {
+        if (isCatalogFresh() != wasFresh) {
             publishView();
         }
     }
 
     private void publishView() {
-        wasSure = isSure();
-        publish.accept(RelayView.of(catalog, book.servers(), wasSure));
+        wasFresh = isCatalogFresh();
+        publish.accept(RelayView.of(catalog, book.servers(), wasFresh));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/KnownRouters.java
+++ b/masticweir/src/main/java/org/masticweir/relay/KnownRouters.java
@@ -14,7 +14,7 @@
 import org.masticweir.id.DomainId;
 import org.masticweir.id.RouterId;
 import org.masticweir.membership.Rendezvous;
-import org.masticweir.relay.RelayMessages.RouterAt;
+import org.masticweir.relay.RelayMessages.RouterInfo;
 
 /**
  * The other routers by failure domain, and which of them hear what; owned by the control thread.
@@ -25,59 +25,61 @@
  */
 final class KnownRouters {
     /** Relays of a domain: with two of them, one may be lost at any moment. */
-    private static final int RELAYS = 2;
+    private static final int GATEWAYS_PER_DOMAIN = 2;
 
     /** Pulses after which each router of another domain has been asked for a sign of life. */
-    private static final int FAR_TURNS = 5;
+    private static final int REMOTE_POLL_ROUNDS = 5;
 
-    private final RouterAt self;
-    private final Map<RouterId, RouterAt> known = new HashMap<>();
+    private final RouterInfo self;
+    private final Map<RouterId, RouterInfo> routers = new HashMap<>();
     private Optional<Groups> groups = Optional.empty();
 
     /** Who stands where, as of the routers known. */
     private record Groups(
-            ImmutableSet<RouterId> home,
-            ImmutableSet<RouterId> told,
-            ImmutableList<RouterId> otherFar) {}
+            ImmutableSet<RouterId> ownDomain,
+            ImmutableSet<RouterId> storeRecipients,
+            ImmutableList<RouterId> otherRemotes) {}
 
-    KnownRouters(RouterAt self) {
+    KnownRouters(RouterInfo self) {
         this.self = checkNotNull(self, "self");
     }
 
     /** Takes note of a router; returns whether it or its address is new. */
-    boolean learn(RouterAt router) {
-        if (router.id().equals(self.id()) || router.equals(known.get(router.id()))) {
+    boolean add(RouterInfo router) {
+        if (router.id().equals(self.id()) || router.equals(routers.get(router.id()))) {
             return false;
         }
-        known.put(router.id(), router);
+        routers.put(router.id(), router);
         groups = Optional.empty();
         return true;
     }
 
-    boolean isHome(RouterId router) {
-        RouterAt at = known.get(router);
+    boolean isInOwnDomain(RouterId router) {
+        RouterInfo at = routers.get(router);
         return at != null && at.domain().equals(self.domain());
     }
 
     /** Returns the other routers of the own domain. */
-    ImmutableSet<RouterId> home() {
-        return groups().home();
+    ImmutableSet<RouterId> ownDomain() {
+        return groups().ownDomain();
     }
 
     /** Returns those that hear words on the store: the own domain and the relays of the others. */
-    ImmutableSet<RouterId> told() {
-        return groups().told();
+    ImmutableSet<RouterId> storeRecipients() {
+        return groups().storeRecipients();
     }
 
     /** Returns those that are asked for a sign of life in the pulse that {@code turn} counts. */
-    ImmutableSet<RouterId> asked(long turn) {
-        ImmutableSet.Builder<RouterId> asked = ImmutableSet.builder();
-        asked.addAll(told());
-        ImmutableList<RouterId> far = groups().otherFar();
-        for (int i = (int) (turn % FAR_TURNS); i < far.size(); i += FAR_TURNS) {
-            asked.add(far.get(i));
+    ImmutableSet<RouterId> pollTargets(long round) {
+        ImmutableSet.Builder<RouterId> targets = ImmutableSet.builder();
+        targets.addAll(storeRecipients());
+        ImmutableList<RouterId> remotes = groups().otherRemotes();
+        for (int i = (int) (round % REMOTE_POLL_ROUNDS);
+                i < remotes.size();
+                i += REMOTE_POLL_ROUNDS) {
+            targets.add(remotes.get(i));
         }
-        return asked.build();
+        return targets.build();
     }
 
     /** Grouped when they are asked for: a start learns of the whole fleet, one by one. */
@@ -90,20 +92,26 @@
 
     private Groups group() {
         Map<DomainId, List<RouterId>> byDomain = new HashMap<>();
-        for (RouterAt router : known.values()) {
+        for (RouterInfo router : routers.values()) {
             byDomain.computeIfAbsent(router.domain(), d -> new ArrayList<>()).add(router.id());
         }
-        List<RouterId> home = Optional.ofNullable(byDomain.remove(self.domain())).orElse(List.of());
-        ImmutableSet.Builder<RouterId> told = ImmutableSet.<RouterId>builder().addAll(home);
+        List<RouterId> ownDomain =
+                Optional.ofNullable(byDomain.remove(self.domain())).orElse(List.of());
+        ImmutableSet.Builder<RouterId> recipients =
+                ImmutableSet.<RouterId>builder().addAll(ownDomain);
         byDomain.values()
-                .forEach(ids -> told.addAll(Rendezvous.first(ReadingShare.DUTY, ids, RELAYS)));
-        ImmutableSet<RouterId> allTold = told.build();
-        ImmutableList<RouterId> otherFar =
+                .forEach(
+                        ids ->
+                                recipients.addAll(
+                                        Rendezvous.first(
+                                                ReadingShare.DUTY, ids, GATEWAYS_PER_DOMAIN)));
+        ImmutableSet<RouterId> storeRecipients = recipients.build();
+        ImmutableList<RouterId> otherRemotes =
                 byDomain.values().stream()
                         .flatMap(List::stream)
-                        .filter(id -> !allTold.contains(id))
+                        .filter(id -> !storeRecipients.contains(id))
                         .sorted(Comparator.comparing(RouterId::value))
                         .collect(ImmutableList.toImmutableList());
-        return new Groups(ImmutableSet.copyOf(home), allTold, otherFar);
+        return new Groups(ImmutableSet.copyOf(ownDomain), storeRecipients, otherRemotes);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/LimitExchange.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LimitExchange.java
@@ -44,7 +44,7 @@
     }
 
     /** There is a router, linked or not. */
-    void learn(RouterId router) {
+    void addRouter(RouterId router) {
         permits.addRouter(router);
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/UseSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LoadSharing.java
@@ -16,9 +16,9 @@
 import org.masticweir.forward.ServerHealth;
 import org.masticweir.id.RouterId;
 import org.masticweir.peer.PeerMessage;
-import org.masticweir.relay.RelayMessages.EngineUse;
-import org.masticweir.relay.RelayMessages.FailureNews;
-import org.masticweir.relay.RelayMessages.UseNews;
+import org.masticweir.relay.RelayMessages.EngineLoad;
+import org.masticweir.relay.RelayMessages.FailureUpdate;
+import org.masticweir.relay.RelayMessages.LoadUpdate;
 import org.masticweir.time.Clock;
 import org.xnio.XnioIoThread;
 
@@ -29,9 +29,9 @@
  * <p>Load that it answers: each router alone sees a part of the prompts in reading, and several
  * choose one engine at the same moment. Changes of a few milliseconds go out together.
  */
-final class UseSharing implements PeerExchange.UseListener {
+final class LoadSharing implements PeerExchange.LoadListener {
     /** How long changes are gathered, in ms; small beside the time that a prompt is read. */
-    private static final long GATHER_MS = 5;
+    private static final long BATCH_MS = 5;
 
     private final XnioIoThread thread;
     private final LoadTracker loads;
@@ -40,7 +40,7 @@
     private final Clock clock;
     private final Supplier<? extends Iterable<RouterId>> peers;
     private final BiConsumer<RouterId, PeerMessage> send;
-    private boolean gathering;
+    private boolean reportScheduled;
 
     /**
      * Creates a sharing that tells nobody before something changes.
@@ -49,7 +49,7 @@
      * @param peers readable on the traffic thread
      * @param send may be called from the traffic thread
      */
-    UseSharing(
+    LoadSharing(
             XnioIoThread thread,
             LoadTracker loads,
             ServerHealth health,
@@ -67,30 +67,30 @@
     }
 
     /** Something on the board has changed. */
-    void changed() {
-        if (!gathering) {
-            gathering = true;
-            thread.executeAfter(this::tell, GATHER_MS, TimeUnit.MILLISECONDS);
+    void scheduleReport() {
+        if (!reportScheduled) {
+            reportScheduled = true;
+            thread.executeAfter(this::sendReports, BATCH_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void tell() {
-        gathering = false;
+    private void sendReports() {
+        reportScheduled = false;
         Set<ServerIncarnation> changed = loads.drainChanged();
         if (!changed.isEmpty()) {
-            UseNews news = news(changed);
-            peers.get().forEach(p -> send.accept(p, news));
+            LoadUpdate update = loadUpdate(changed);
+            peers.get().forEach(p -> send.accept(p, update));
         }
         health.drainFailureReports()
                 .forEach(
                         (server, gone) -> {
-                            FailureNews news = new FailureNews(server, gone);
-                            peers.get().forEach(p -> send.accept(p, news));
+                            FailureUpdate update = new FailureUpdate(server, gone);
+                            peers.get().forEach(p -> send.accept(p, update));
                         });
     }
 
     @Override
-    public void failure(ServerIncarnation server, boolean gone) {
+    public void handleFailure(ServerIncarnation server, boolean gone) {
         thread.execute(
                 () ->
                         servers.apply(server)
@@ -98,30 +98,31 @@
     }
 
     @Override
-    public void use(RouterId peer, List<EngineUse> uses) {
-        thread.execute(() -> uses.forEach(u -> loads.recordPeerLoad(peer, u.engine(), u.use())));
+    public void handleLoad(RouterId peer, List<EngineLoad> engines) {
+        thread.execute(
+                () -> engines.forEach(e -> loads.recordPeerLoad(peer, e.engine(), e.load())));
     }
 
     @Override
-    public void forget(RouterId peer) {
+    public void peerLost(RouterId peer) {
         thread.execute(() -> loads.forgetPeer(peer));
     }
 
     @Override
-    public void tellAll(RouterId peer) {
+    public void sendAll(RouterId peer) {
         thread.execute(
                 () -> {
                     Set<ServerIncarnation> used = loads.loadedEngines();
                     if (!used.isEmpty()) {
-                        send.accept(peer, news(used));
+                        send.accept(peer, loadUpdate(used));
                     }
                 });
     }
 
-    private UseNews news(Set<ServerIncarnation> engines) {
-        return new UseNews(
+    private LoadUpdate loadUpdate(Set<ServerIncarnation> engines) {
+        return new LoadUpdate(
                 engines.stream()
-                        .map(e -> new EngineUse(e, loads.ownLoad(e)))
+                        .map(e -> new EngineLoad(e, loads.ownLoad(e)))
                         .collect(ImmutableList.toImmutableList()));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/PeerDirectory.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PeerDirectory.java
@@ -14,7 +14,7 @@
 import org.masticweir.http.IpAddress;
 import org.masticweir.id.DomainId;
 import org.masticweir.id.RouterId;
-import org.masticweir.relay.RelayMessages.RouterAt;
+import org.masticweir.relay.RelayMessages.RouterInfo;
 import org.masticweir.store.FeedOutcome;
 import org.masticweir.store.RowKey;
 import org.masticweir.store.Transaction;
@@ -37,33 +37,35 @@
     private static final Splitter PARTS = Splitter.on(SEPARATOR);
 
     /** Time for one call, in ms. */
-    private static final long CALL_MS = 1_000;
+    private static final long CALL_TIMEOUT_MS = 1_000;
 
     /** Pause before a failed call is made again, in ms. */
-    private static final long AGAIN_MS = 500;
+    private static final long RETRY_DELAY_MS = 500;
 
     private final PlatformPort.Store store;
-    private final RouterAt self;
+    private final RouterInfo self;
     private final ScheduledExecutorService control;
     private final List<RouterId> known = new CopyOnWriteArrayList<>();
 
-    PeerDirectory(PlatformPort.Store store, RouterAt self, ScheduledExecutorService control) {
+    PeerDirectory(PlatformPort.Store store, RouterInfo self, ScheduledExecutorService control) {
         this.store = checkNotNull(store, "store");
         this.self = checkNotNull(self, "self");
         this.control = checkNotNull(control, "control");
     }
 
     /** Writes this router's address, then gives those of the others to {@code found}. */
-    void join(Consumer<RouterAt> found) {
+    void join(Consumer<RouterInfo> found) {
         Transaction put =
-                Transaction.builder().put(RowKey.of(TABLE, self.id().value()), text(self)).build();
-        store.transact(put, CALL_MS)
+                Transaction.builder()
+                        .put(RowKey.of(TABLE, self.id().value()), format(self))
+                        .build();
+        store.transact(put, CALL_TIMEOUT_MS)
                 .thenAccept(
                         outcome -> {
                             if (outcome instanceof TransactionOutcome.Committed) {
-                                read(found);
+                                readOthers(found);
                             } else {
-                                again(() -> join(found), "write its address: " + outcome);
+                                retryLater(() -> join(found), "write its address: " + outcome);
                             }
                         });
     }
@@ -80,28 +82,29 @@
         return known;
     }
 
-    private void read(Consumer<RouterAt> found) {
-        store.readAll(TABLE, CALL_MS)
+    private void readOthers(Consumer<RouterInfo> found) {
+        store.readAll(TABLE, CALL_TIMEOUT_MS)
                 .thenAccept(
                         outcome -> {
                             if (outcome instanceof FeedOutcome.Rows rows) {
-                                control.execute(() -> rows.changes().forEach(r -> tell(r, found)));
+                                control.execute(
+                                        () -> rows.changes().forEach(r -> parseRow(r, found)));
                             } else {
-                                again(() -> read(found), "read the others' addresses");
+                                retryLater(() -> readOthers(found), "read the others' addresses");
                             }
                         });
     }
 
-    private static String text(RouterAt router) {
+    private static String format(RouterInfo router) {
         return IpAddress.text(router.address()) + SEPARATOR + router.domain().value();
     }
 
-    private static void tell(FeedOutcome.Change row, Consumer<RouterAt> found) {
+    private static void parseRow(FeedOutcome.Change row, Consumer<RouterInfo> found) {
         try {
             List<String> parts = PARTS.splitToList(row.value().orElse(""));
             checkArgument(parts.size() == 2, "no address and domain");
             found.accept(
-                    new RouterAt(
+                    new RouterInfo(
                             RouterId.of(row.key().key()),
                             DomainId.of(parts.get(1)),
                             IpAddress.parse(parts.get(0))));
@@ -110,8 +113,8 @@
         }
     }
 
-    private void again(Runnable step, String what) {
+    private void retryLater(Runnable step, String what) {
         LOG.info("peers: {} could not {}, it is tried again", self.id(), what);
-        ControlThread.executeAfter(control, step, AGAIN_MS, "peers");
+        ControlThread.executeAfter(control, step, RETRY_DELAY_MS, "peers");
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/PeerExchange.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PeerExchange.java
@@ -20,14 +20,14 @@
 import org.masticweir.quarantine.CrashUpdate;
 import org.masticweir.quarantine.SharedQuarantine;
 import org.masticweir.relay.RelayMessages.CatalogRequest;
-import org.masticweir.relay.RelayMessages.EngineUse;
-import org.masticweir.relay.RelayMessages.FailureNews;
+import org.masticweir.relay.RelayMessages.EngineLoad;
+import org.masticweir.relay.RelayMessages.FailureUpdate;
 import org.masticweir.relay.RelayMessages.Introduction;
-import org.masticweir.relay.RelayMessages.Pulse;
-import org.masticweir.relay.RelayMessages.RouterAt;
-import org.masticweir.relay.RelayMessages.ServerNews;
-import org.masticweir.relay.RelayMessages.ServersAsk;
-import org.masticweir.relay.RelayMessages.UseNews;
+import org.masticweir.relay.RelayMessages.LoadUpdate;
+import org.masticweir.relay.RelayMessages.RouterInfo;
+import org.masticweir.relay.RelayMessages.ServerUpdates;
+import org.masticweir.relay.RelayMessages.ServersRequest;
+import org.masticweir.relay.RelayMessages.StoreStatus;
 
 /**
  * How routers come to know each other, and what they tell of servers' use; owned by the control
@@ -40,44 +40,44 @@
     private static final Logger LOG = LogManager.getLogger(PeerExchange.class);
 
     /** Time before the first router of another domain is met, in ms: callers come first. */
-    private static final long FAR_AFTER_MS = 500;
+    private static final long REMOTE_DELAY_MS = 500;
 
     /** Time between two of them, in ms; a fleet of 400 is met within ten seconds. */
-    private static final long FAR_STEP_MS = 20;
+    private static final long REMOTE_INTERVAL_MS = 20;
 
     private final PeerLinks links;
-    private final RouterAt self;
+    private final RouterInfo self;
     private final KnownRouters routers;
     private final ScheduledExecutorService control;
     private final PeerDirectory directory;
-    private final UseListener uses;
+    private final LoadListener loads;
     private final SharedQuarantine quarantine;
     private final LimitExchange limits;
     private final StoreSharing sharing;
     private final CatalogSharing catalogs;
     private final StoreReading reading;
     private final Counter linksUp;
-    private final Set<RouterId> farToMeet = new HashSet<>();
+    private final Set<RouterId> pendingRemotes = new HashSet<>();
 
     /** Hears what peers have at engines; called on the control thread. */
-    interface UseListener {
-        void use(RouterId peer, List<EngineUse> uses);
+    interface LoadListener {
+        void handleLoad(RouterId peer, List<EngineLoad> engines);
 
-        void failure(ServerIncarnation server, boolean gone);
+        void handleFailure(ServerIncarnation server, boolean gone);
 
-        void forget(RouterId peer);
+        void peerLost(RouterId peer);
 
         /** Tells the peer what this router has at each engine. */
-        void tellAll(RouterId peer);
+        void sendAll(RouterId peer);
     }
 
     PeerExchange(
             PeerLinks links,
-            RouterAt self,
+            RouterInfo self,
             KnownRouters routers,
             ScheduledExecutorService control,
             PeerDirectory directory,
-            UseListener uses,
+            LoadListener loads,
             SharedQuarantine quarantine,
             LimitExchange limits,
             StoreSharing sharing,
@@ -89,7 +89,7 @@
         this.routers = checkNotNull(routers, "routers");
         this.control = checkNotNull(control, "control");
         this.directory = checkNotNull(directory, "directory");
-        this.uses = checkNotNull(uses, "uses");
+        this.loads = checkNotNull(loads, "loads");
         this.quarantine = checkNotNull(quarantine, "quarantine");
         this.limits = checkNotNull(limits, "limits");
         this.sharing = checkNotNull(sharing, "sharing");
@@ -100,46 +100,54 @@
 
     /** Registers the handlers; call before the links start. */
     void start() {
-        links.on(Introduction.class, (from, m, reply) -> onControl(() -> learn(m.router())));
-        links.on(UseNews.class, (from, m, reply) -> onControl(() -> uses.use(from, m.uses())));
+        links.on(Introduction.class, (from, m, reply) -> onControl(() -> addRouter(m.router())));
         links.on(
-                FailureNews.class,
-                (from, m, reply) -> onControl(() -> uses.failure(m.server(), m.gone())));
+                LoadUpdate.class,
+                (from, m, reply) -> onControl(() -> loads.handleLoad(from, m.loads())));
+        links.on(
+                FailureUpdate.class,
+                (from, m, reply) -> onControl(() -> loads.handleFailure(m.server(), m.isGone())));
         links.on(CrashUpdate.class, (from, m, reply) -> quarantine.handleUpdate(from, m));
-        links.on(Pulse.class, (from, m, reply) -> onControl(() -> sharing.pulse(from, m, reply)));
-        links.on(ServerNews.class, (from, m, reply) -> onControl(() -> sharing.words(from, m)));
-        links.on(ServersAsk.class, (from, m, reply) -> onControl(() -> sharing.answer(m, reply)));
+        links.on(
+                StoreStatus.class,
+                (from, m, reply) -> onControl(() -> sharing.handleStatus(from, m, reply)));
+        links.on(
+                ServerUpdates.class,
+                (from, m, reply) -> onControl(() -> sharing.handleUpdates(from, m)));
+        links.on(
+                ServersRequest.class,
+                (from, m, reply) -> onControl(() -> sharing.handleRequest(m, reply)));
         links.on(
                 CatalogRequest.class,
-                (from, m, reply) -> onControl(() -> catalogs.offer(m, reply)));
+                (from, m, reply) -> onControl(() -> catalogs.handleRequest(m, reply)));
         limits.start();
-        links.listen(new Links());
+        links.listen(new LinkEvents());
         sharing.start();
     }
 
     /** Takes note of a router, and introduces this one to it now or soon. */
-    void learn(RouterAt router) {
-        if (!routers.learn(router)) {
+    void addRouter(RouterInfo router) {
+        if (!routers.add(router)) {
             return;
         }
-        limits.learn(router.id());
+        limits.addRouter(router.id());
         LOG.info("peers: {} of {} is at {}", router.id(), router.domain(), router.address());
         links.learn(router.id(), router.address());
-        if (routers.isHome(router.id())) {
-            meet(router.id());
-        } else if (farToMeet.add(router.id())) {
-            long delayMs = FAR_AFTER_MS + farToMeet.size() * FAR_STEP_MS;
-            control.schedule(() -> meetFar(router.id()), delayMs, TimeUnit.MILLISECONDS);
+        if (routers.isInOwnDomain(router.id())) {
+            connect(router.id());
+        } else if (pendingRemotes.add(router.id())) {
+            long delayMs = REMOTE_DELAY_MS + pendingRemotes.size() * REMOTE_INTERVAL_MS;
+            control.schedule(() -> connectRemote(router.id()), delayMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void meetFar(RouterId router) {
-        farToMeet.remove(router);
-        meet(router);
+    private void connectRemote(RouterId router) {
+        pendingRemotes.remove(router);
+        connect(router);
     }
 
     /** Opens the link with a first message; from now on the router hears what all hear. */
-    private void meet(RouterId router) {
+    private void connect(RouterId router) {
         directory.add(router);
         links.send(router, new Introduction(self));
     }
@@ -149,7 +157,7 @@
     }
 
     /** Greets peers whose link has come up, and forgets the load of those that are lost. */
-    private final class Links implements LinkListener {
+    private final class LinkEvents implements LinkListener {
         @Override
         public void linkUp(Hello peer, LinkDirection direction) {
             if (direction != LinkDirection.OUTGOING) {
@@ -161,7 +169,7 @@
                         LOG.info("peers: link to {} is up", peer.router());
                         links.send(peer.router(), new Introduction(self));
                         sharing.linkUp(peer.router());
-                        uses.tellAll(peer.router());
+                        loads.sendAll(peer.router());
                         quarantine.snapshot().ifPresent(m -> links.send(peer.router(), m));
                     });
         }
@@ -174,9 +182,9 @@
             onControl(
                     () -> {
                         LOG.info("peers: {} link with {} is down", direction, peer);
-                        reading.closed(peer);
+                        reading.recordLinkClosed(peer);
                         if (direction == LinkDirection.INCOMING) {
-                            uses.forget(peer);
+                            loads.peerLost(peer);
                             quarantine.removeTrialsOf(peer);
                         }
                     });
--- a/masticweir/src/main/java/org/masticweir/relay/RelayMessages.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayMessages.java
@@ -27,21 +27,21 @@
 /** The messages between routers that pass requests on; numbers are never reused. */
 final class RelayMessages {
     private static final int INTRODUCTION = 96;
-    private static final int PULSE = 97;
-    private static final int CATALOG_ASK = 98;
-    private static final int CATALOG_OFFER = 99;
-    private static final int SERVER_NEWS = 100;
-    private static final int USE_NEWS = 101;
-    private static final int FAILURE_NEWS = 102;
-    private static final int SERVERS_ASK = 103;
-    private static final int CRASH_NEWS = 104;
-    private static final int LIMIT_NEWS = 105;
-    private static final int PERMIT_ASK = 106;
+    private static final int STORE_STATUS = 97;
+    private static final int CATALOG_REQUEST = 98;
+    private static final int CATALOG_REPLY = 99;
+    private static final int SERVER_UPDATES = 100;
+    private static final int LOAD_UPDATE = 101;
+    private static final int FAILURE_UPDATE = 102;
+    private static final int SERVERS_REQUEST = 103;
+    private static final int CRASH_UPDATE = 104;
+    private static final int LIMIT_UPDATE = 105;
+    private static final int PERMIT_REQUEST = 106;
     private static final int PERMIT_REPLY = 107;
-    private static final int PERMIT_USE = 108;
+    private static final int RATE_USAGE_REPORT = 108;
 
     private static final int MAX_ID_BYTES = 256;
-    private static final int USE_FIELDS = 6;
+    private static final int LOAD_FIELDS = 6;
     private static final int MAX_SERVERS = 16_384;
     static final int MAX_CATALOG_BYTES = 4 << 20;
     private static final byte[] NO_BYTES = {};
@@ -49,18 +49,19 @@
     private RelayMessages() {}
 
     /** Where the sender listens. */
-    record Introduction(RouterAt router) implements PeerMessage {}
+    record Introduction(RouterInfo router) implements PeerMessage {}
 
     /** A router, its failure domain and the address at which its peers reach it. */
-    record RouterAt(RouterId id, DomainId domain, InetSocketAddress address) {}
+    record RouterInfo(RouterId id, DomainId domain, InetSocketAddress address) {}
 
     /**
      * Says what the sender knows of the store; asked for, the reply is another.
      *
-     * @param newestWord revision of the newest word on a server
+     * @param newestUpdate revision of the newest word on a server
      * @param completeTo revision up to which all words on servers are known
      */
-    record Pulse(long catalogVersion, StoreContact contact, long newestWord, long completeTo)
+    record StoreStatus(
+            long catalogVersion, StoreContact contact, long newestUpdate, long completeTo)
             implements PeerMessage {}
 
     /**
@@ -97,179 +98,185 @@
     /**
      * All words on servers after one revision of the store up to another.
      *
-     * @param after {@link WordsKnown#START} if these are all servers that there are
-     * @param doubtMs how long removals among them are doubted still, in ms
+     * @param after {@link UpdateProgress#START} if these are all servers that there are
+     * @param removalDelayMs how long removals among them are doubted still, in ms
      */
-    record ServerNews(long after, long completeTo, long doubtMs, List<ServerWordNews> words)
+    record ServerUpdates(
+            long after, long completeTo, long removalDelayMs, List<ServerUpdate> updates)
             implements PeerMessage {
-        ServerNews {
-            words = ImmutableList.copyOf(words);
+        ServerUpdates {
+            updates = ImmutableList.copyOf(updates);
         }
 
-        boolean isWhole() {
-            return after == WordsKnown.START;
+        boolean isFullList() {
+            return after == UpdateProgress.START;
         }
     }
 
     /**
-     * Asks for the words on servers that the sender lacks; the reply is a {@link ServerNews}.
+     * Asks for the words on servers that the sender lacks; the reply is a {@link ServerUpdates}.
      *
      * @param completeTo revision up to which the sender knows all
      * @param digest of the words that it has, so that no list is sent where both have the same
      */
-    record ServersAsk(long completeTo, long digest) implements PeerMessage {}
+    record ServersRequest(long completeTo, long digest) implements PeerMessage {}
 
     /** What the sender has at engines now. */
-    record UseNews(List<EngineUse> uses) implements PeerMessage {
-        UseNews {
-            uses = ImmutableList.copyOf(uses);
+    record LoadUpdate(List<EngineLoad> loads) implements PeerMessage {
+        LoadUpdate {
+            loads = ImmutableList.copyOf(loads);
         }
     }
 
     /** What a router has at one engine. */
-    record EngineUse(ServerIncarnation engine, ServerLoad use) {}
+    record EngineLoad(ServerIncarnation engine, ServerLoad load) {}
 
     /** A server failed at the sender, or is gone for good. */
-    record FailureNews(ServerIncarnation server, boolean gone) implements PeerMessage {}
+    record FailureUpdate(ServerIncarnation server, boolean isGone) implements PeerMessage {}
 
     static List<MessageCodec<?>> codecs() {
         return ImmutableList.<MessageCodec<?>>builder()
-                .addAll(ofRoutersAndUse())
-                .addAll(ofTheStore())
-                .add(LimitUpdate.codec(LIMIT_NEWS))
-                .add(PermitRequest.codec(PERMIT_ASK))
+                .addAll(routerAndLoadCodecs())
+                .addAll(storeCodecs())
+                .add(LimitUpdate.codec(LIMIT_UPDATE))
+                .add(PermitRequest.codec(PERMIT_REQUEST))
                 .add(PermitReply.codec(PERMIT_REPLY))
-                .add(RateUsageReport.codec(PERMIT_USE))
+                .add(RateUsageReport.codec(RATE_USAGE_REPORT))
                 .build();
     }
 
-    private static List<MessageCodec<?>> ofTheStore() {
+    private static List<MessageCodec<?>> storeCodecs() {
         return ImmutableList.of(
                 FieldsCodec.of(
-                        PULSE,
-                        Pulse.class,
+                        STORE_STATUS,
+                        StoreStatus.class,
                         4,
-                        RelayMessages::encodePulse,
+                        RelayMessages::encodeStatus,
                         f ->
-                                new Pulse(
+                                new StoreStatus(
                                         f.int64(),
                                         StoreContact.ofOrdinal(f.int32()),
                                         f.int64(),
                                         f.int64())),
                 FieldsCodec.of(
-                        CATALOG_ASK,
+                        CATALOG_REQUEST,
                         CatalogRequest.class,
                         2,
                         1,
                         (m, out) -> out.packLong(m.newerThan()).packBoolean(m.takesEdits()),
                         f -> new CatalogRequest(f.int64(), f.hasMore() && f.bool())),
                 FieldsCodec.of(
-                        CATALOG_OFFER,
+                        CATALOG_REPLY,
                         CatalogReply.class,
                         2,
                         1,
-                        RelayMessages::encodeOffer,
-                        f -> new CatalogReply(f.text(MAX_CATALOG_BYTES), edit(f))),
+                        RelayMessages::encodeReply,
+                        f -> new CatalogReply(f.text(MAX_CATALOG_BYTES), decodeEdit(f))),
                 FieldsCodec.of(
-                        SERVER_NEWS,
-                        ServerNews.class,
+                        SERVER_UPDATES,
+                        ServerUpdates.class,
                         4,
                         RelayMessages::encodeServers,
                         f ->
-                                new ServerNews(
+                                new ServerUpdates(
                                         f.int64(),
                                         f.int64(),
                                         f.int64(),
-                                        f.list(MAX_SERVERS, ServerWordNews::decode))),
+                                        f.list(MAX_SERVERS, ServerUpdate::decode))),
                 FieldsCodec.of(
-                        SERVERS_ASK,
-                        ServersAsk.class,
+                        SERVERS_REQUEST,
+                        ServersRequest.class,
                         2,
                         (m, out) -> out.packLong(m.completeTo()).packLong(m.digest()),
-                        f -> new ServersAsk(f.int64(), f.int64())));
+                        f -> new ServersRequest(f.int64(), f.int64())));
     }
 
-    private static List<MessageCodec<?>> ofRoutersAndUse() {
+    private static List<MessageCodec<?>> routerAndLoadCodecs() {
         return ImmutableList.of(
                 FieldsCodec.of(
                         INTRODUCTION,
                         Introduction.class,
                         3,
                         (m, out) -> encodeRouter(m.router(), out),
-                        f -> new Introduction(router(f))),
+                        f -> new Introduction(decodeRouter(f))),
                 FieldsCodec.of(
-                        USE_NEWS,
-                        UseNews.class,
+                        LOAD_UPDATE,
+                        LoadUpdate.class,
                         1,
-                        RelayMessages::encodeUses,
-                        f -> new UseNews(f.list(MAX_SERVERS, RelayMessages::use))),
+                        RelayMessages::encodeLoads,
+                        f -> new LoadUpdate(f.list(MAX_SERVERS, RelayMessages::decodeLoad))),
                 FieldsCodec.of(
-                        FAILURE_NEWS,
-                        FailureNews.class,
+                        FAILURE_UPDATE,
+                        FailureUpdate.class,
                         3,
-                        (m, out) -> encodeLife(m.server(), out).packBoolean(m.gone()),
-                        f -> new FailureNews(life(f), f.bool())),
-                CrashUpdate.codec(CRASH_NEWS));
+                        (m, out) -> encodeIncarnation(m.server(), out).packBoolean(m.isGone()),
+                        f -> new FailureUpdate(decodeIncarnation(f), f.bool())),
+                CrashUpdate.codec(CRASH_UPDATE));
     }
 
-    private static void encodeRouter(RouterAt router, MessagePacker out) throws IOException {
+    private static void encodeRouter(RouterInfo router, MessagePacker out) throws IOException {
         out.packString(router.id().value()).packString(router.domain().value());
         out.packString(IpAddress.text(router.address()));
     }
 
-    private static RouterAt router(Fields f) throws IOException {
-        return new RouterAt(
+    private static RouterInfo decodeRouter(Fields f) throws IOException {
+        return new RouterInfo(
                 RouterId.of(f.text(MAX_ID_BYTES)),
                 DomainId.of(f.text(MAX_ID_BYTES)),
                 IpAddress.parse(f.text(MAX_ID_BYTES)));
     }
 
-    private static void encodePulse(Pulse pulse, MessagePacker out) throws IOException {
-        out.packLong(pulse.catalogVersion()).packInt(pulse.contact().ordinal());
-        out.packLong(pulse.newestWord()).packLong(pulse.completeTo());
+    private static void encodeStatus(StoreStatus status, MessagePacker out) throws IOException {
+        out.packLong(status.catalogVersion()).packInt(status.contact().ordinal());
+        out.packLong(status.newestUpdate()).packLong(status.completeTo());
     }
 
-    private static void encodeOffer(CatalogReply offer, MessagePacker out) throws IOException {
-        byte[] edit = offer.edit().map(PackedEdit::bytes).orElse(NO_BYTES);
-        out.packString(offer.text()).packBinaryHeader(edit.length).writePayload(edit);
+    private static void encodeReply(CatalogReply reply, MessagePacker out) throws IOException {
+        byte[] edit = reply.edit().map(PackedEdit::bytes).orElse(NO_BYTES);
+        out.packString(reply.text()).packBinaryHeader(edit.length).writePayload(edit);
     }
 
-    private static Optional<PackedEdit> edit(Fields f) throws IOException {
+    private static Optional<PackedEdit> decodeEdit(Fields f) throws IOException {
         byte[] edit = f.hasMore() ? f.bytes(MAX_CATALOG_BYTES) : NO_BYTES;
         return edit.length == 0 ? Optional.empty() : Optional.of(PackedEdit.ofBytes(edit));
     }
 
-    private static MessagePacker encodeLife(ServerIncarnation life, MessagePacker out)
+    private static MessagePacker encodeIncarnation(ServerIncarnation incarnation, MessagePacker out)
             throws IOException {
-        return out.packString(life.id().value()).packLong(life.startedMs());
+        return out.packString(incarnation.id().value()).packLong(incarnation.startedMs());
     }
 
-    private static ServerIncarnation life(Fields f) throws IOException {
+    private static ServerIncarnation decodeIncarnation(Fields f) throws IOException {
         return ServerIncarnation.of(EngineId.of(f.text(MAX_ID_BYTES)), f.int64());
     }
 
-    private static void encodeServers(ServerNews news, MessagePacker out) throws IOException {
-        out.packLong(news.after()).packLong(news.completeTo()).packLong(news.doubtMs());
-        out.packArrayHeader(news.words().size());
-        for (ServerWordNews word : news.words()) {
-            word.encode(out);
+    private static void encodeServers(ServerUpdates message, MessagePacker out) throws IOException {
+        out.packLong(message.after())
+                .packLong(message.completeTo())
+                .packLong(message.removalDelayMs());
+        out.packArrayHeader(message.updates().size());
+        for (ServerUpdate update : message.updates()) {
+            update.encode(out);
         }
     }
 
-    private static void encodeUses(UseNews news, MessagePacker out) throws IOException {
-        out.packArrayHeader(news.uses().size());
-        for (EngineUse engine : news.uses()) {
-            ServerLoad use = engine.use();
-            out.packArrayHeader(USE_FIELDS);
-            encodeLife(engine.engine(), out).packInt(use.running()).packInt(use.prefills());
-            out.packLong(use.prefillTokens()).packLong(use.memoryTokens());
+    private static void encodeLoads(LoadUpdate message, MessagePacker out) throws IOException {
+        out.packArrayHeader(message.loads().size());
+        for (EngineLoad engine : message.loads()) {
+            ServerLoad load = engine.load();
+            out.packArrayHeader(LOAD_FIELDS);
+            encodeIncarnation(engine.engine(), out)
+                    .packInt(load.running())
+                    .packInt(load.prefills());
+            out.packLong(load.prefillTokens()).packLong(load.memoryTokens());
         }
     }
 
-    private static EngineUse use(MessageUnpacker in) throws IOException {
-        try (Fields f = Fields.open(in, USE_FIELDS)) {
-            return new EngineUse(
-                    life(f), new ServerLoad(f.int32(), f.int32(), f.int64(), f.int64()));
+    private static EngineLoad decodeLoad(MessageUnpacker in) throws IOException {
+        try (Fields f = Fields.open(in, LOAD_FIELDS)) {
+            return new EngineLoad(
+                    decodeIncarnation(f),
+                    new ServerLoad(f.int32(), f.int32(), f.int64(), f.int64()));
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayPorts.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayPorts.java
@@ -21,20 +21,20 @@
 /** The ports of callers, of the balancer and of the metrics page; thread-safe. */
 final class RelayPorts implements AutoCloseable {
     /** How long a connection without a request is kept, in ms; callers close theirs sooner. */
-    private static final int IDLE_MS = 60_000;
+    private static final int IDLE_TIMEOUT_MS = 60_000;
 
     /** How long the head of a request may take, in ms. */
-    private static final int HEAD_MS = 10_000;
+    private static final int HEAD_TIMEOUT_MS = 10_000;
 
     private static final int MAX_HEADER_BYTES = 64 << 10;
     private static final int BACKLOG = 1_024;
 
     private final Undertow callers;
-    private final Undertow others;
+    private final Undertow management;
 
     private RelayPorts(Undertow callers, Undertow others) {
         this.callers = callers;
-        this.others = others;
+        this.management = others;
     }
 
     /** Returns ports that are not open yet. */
@@ -62,8 +62,8 @@
                 .setServerOption(UndertowOptions.ALLOW_UNESCAPED_CHARACTERS_IN_URL, true)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_MS)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, HEAD_MS);
+                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MS)
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, HEAD_TIMEOUT_MS);
     }
 
     /**
@@ -71,8 +71,8 @@
      *
      * @throws MasticweirException if one can't be opened
      */
-    void openOthers() {
-        start(others);
+    void openManagement() {
+        start(management);
     }
 
     /**
@@ -99,7 +99,7 @@
     @Override
     public void close() {
         callers.stop();
-        others.stop();
+        management.stop();
     }
 
     private static void listen(
@@ -114,10 +114,11 @@
 
     private static HttpHandler readiness(String path, BooleanSupplier ready) {
         return exchange -> {
-            boolean known = exchange.getRequestPath().equals(path);
-            boolean takes = known && ready.getAsBoolean();
-            int otherwise = known ? StatusCodes.SERVICE_UNAVAILABLE : StatusCodes.NOT_FOUND;
-            exchange.setStatusCode(takes ? StatusCodes.OK : otherwise);
+            boolean isKnownPath = exchange.getRequestPath().equals(path);
+            boolean isReady = isKnownPath && ready.getAsBoolean();
+            int failureStatus =
+                    isKnownPath ? StatusCodes.SERVICE_UNAVAILABLE : StatusCodes.NOT_FOUND;
+            exchange.setStatusCode(isReady ? StatusCodes.OK : failureStatus);
             exchange.endExchange();
         };
     }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
@@ -44,7 +44,7 @@
 import org.masticweir.quarantine.Quarantine;
 import org.masticweir.quarantine.QuarantineStore;
 import org.masticweir.quarantine.SharedQuarantine;
-import org.masticweir.relay.RelayMessages.RouterAt;
+import org.masticweir.relay.RelayMessages.RouterInfo;
 import org.masticweir.time.Clock;
 import org.xnio.OptionMap;
 import org.xnio.Options;
@@ -61,7 +61,7 @@
     private static final Logger LOG = LogManager.getLogger(RelayRouter.class);
 
     /** Time for a connection to a server, in ms: hundreds of times a way, and a lost packet. */
-    private static final long CONNECT_MS = 300;
+    private static final long CONNECT_TIMEOUT_MS = 300;
 
     private static final int BUFFER_BYTES = 16 * 1024;
 
@@ -74,18 +74,18 @@
     private static final long TICK_MS = 100;
 
     private static final int MAX_QUEUED_BYTES = 4 << 20;
-    private static final int LINK_CONNECT_MS = 500;
+    private static final int LINK_CONNECT_TIMEOUT_MS = 500;
     private static final int LINK_BACKOFF_MIN_MS = 50;
 
     /** Longest pause before a lost link is dialled again, in ms: a restart must be met soon. */
     private static final int LINK_BACKOFF_MAX_MS = 500;
 
-    private static final int LINK_SILENCE_MS = 2_000;
+    private static final int LINK_SILENCE_TIMEOUT_MS = 2_000;
 
     private final RelaySettings settings;
     private final Clock clock;
     private final PlatformPort platform;
-    private final ControlThread control = new ControlThread();
+    private final ControlExecutor control = new ControlExecutor();
     private final XnioWorker worker;
     private final XnioIoThread thread;
     private final HttpCaller calls;
@@ -95,24 +95,24 @@
     private final ServerNotices serverNotices = ServerNotices.create();
     private final MetricRegistry metrics = new MetricRegistry();
     private final DrainingAdmission intake = new DrainingAdmission();
-    private final KeepAliveConnections kept = new KeepAliveConnections();
-    private final ServiceRetryBudgets repeats;
+    private final KeepAliveConnections keepAlive = new KeepAliveConnections();
+    private final ServiceRetryBudgets retryBudgets;
     private final PeerLinks links;
     private final PeerDirectory directory;
-    private final Deployment deployment;
+    private final DeploymentState deployment;
     private final StoreReading reading;
     private final CatalogSharing catalogs;
     private final StoreSharing sharing;
     private final TableFollower catalogFollower;
     private final TableFollower serverFollower;
-    private final QuarantineStore quarantineRows;
+    private final QuarantineStore quarantineStore;
     private final SharedQuarantine quarantine;
     private final ServerLimits serverLimits = ServerLimits.create();
     private final SharedPermits permits;
     private final SharedLimits limits;
     private final AnswerMetadataRecorder notices;
     private final LossInquiry losses;
-    private final InFlightRequests underWay;
+    private final InFlightRequests inFlight;
     private final PeerExchange peers;
     private final RelayShutdown shutdown;
     private final RelayPorts ports;
@@ -126,25 +126,25 @@
         this.settings = checkNotNull(settings, "settings");
         this.clock = checkNotNull(clock, "clock");
         this.platform = checkNotNull(platform, "platform");
-        repeats = ServiceRetryBudgets.of(settings.retryShare(), settings.retryAllowance());
+        retryBudgets = ServiceRetryBudgets.of(settings.retryShare(), settings.retryAllowance());
         worker = newWorker();
         thread = worker.getIoThread();
         calls = HttpCaller.create(worker, HttpCallerLimits.defaults());
         store = platform.store(settings.store(), calls);
         links = openLinks();
         deployment = newDeployment();
-        RouterAt self = new RouterAt(settings.router(), settings.domain(), settings.peers());
+        RouterInfo self = new RouterInfo(settings.router(), settings.domain(), settings.peers());
         directory = new PeerDirectory(store, self, control);
         reading = new StoreReading(ReadingShare.of(settings.router()), clock);
         KnownRouters routers = new KnownRouters(self);
         catalogs = new CatalogSharing(links, deployment, control, clock, metrics);
         sharing =
                 new StoreSharing(
-                        links, routers, deployment, catalogs, reading, this::toldUpTo, control);
+                        links, routers, deployment, catalogs, reading, this::onUpdates, control);
         catalogFollower = catalogFollower();
         serverFollower = serverFollower();
-        UseSharing uses = useSharing();
-        quarantineRows = new QuarantineStore(store, control, clock, settings.quarantineMs());
+        LoadSharing loadSharing = loadSharing();
+        quarantineStore = new QuarantineStore(store, control, clock, settings.quarantineMs());
         quarantine = sharedQuarantine();
         permits = new SharedPermits(settings.router(), links, clock, thread, metrics);
         limits = sharedLimits();
@@ -152,9 +152,8 @@
                 new AnswerMetadataRecorder(
                         serverNotices, limits, platform.protocol(), clock, metrics);
         losses = lossInquiry();
-        underWay = new InFlightRequests(quarantine);
-        quarantine.onChange(
-                (c, change) -> thread.execute(() -> underWay.onQuarantineChange(c, change)));
+        inFlight = new InFlightRequests(quarantine);
+        quarantine.onChange((c, q) -> thread.execute(() -> inFlight.onQuarantineChange(c, q)));
         peers =
                 new PeerExchange(
                         links,
@@ -162,7 +161,7 @@
                         routers,
                         control,
                         directory,
-                        uses,
+                        loadSharing,
                         quarantine,
                         new LimitExchange(limits, permits, thread, links),
                         sharing,
@@ -174,13 +173,13 @@
                 RelayPorts.create(
                         settings,
                         worker,
-                        new RelayHandler(context(uses), intake, kept),
+                        new RelayHandler(context(loadSharing), intake, keepAlive),
                         platform.protocol().readyPath(),
                         () -> deployment.isReady() && !intake.isDraining(),
                         metrics);
         callersPort =
                 new CallersPort(
-                        listener, ports, settings.callers(), this::knowsEnough, control, clock);
+                        listener, ports, settings.callers(), this::canServeCallers, control, clock);
         delays = new ThreadDelays(control, thread, clock, metrics);
     }
 
@@ -206,12 +205,12 @@
     }
 
     private void open() {
-        ports.openOthers();
+        ports.openManagement();
         peers.start();
         links.start();
         control.execute(() -> reading.follow(catalogFollower, serverFollower));
-        directory.join(peers::learn);
-        quarantineRows.load(quarantine::restore);
+        directory.join(peers::addRouter);
+        quarantineStore.load(quarantine::restore);
         control.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         delays.start();
         callersPort.openWhenReady();
@@ -219,8 +218,8 @@
     }
 
     /** Without the records, what ended servers before the start would be sent to more of them. */
-    private boolean knowsEnough() {
-        return deployment.isReady() && quarantineRows.isLoaded();
+    private boolean canServeCallers() {
+        return deployment.isReady() && quarantineStore.isLoaded();
     }
 
     private void tick() {
@@ -229,8 +228,8 @@
         catalogs.tick();
     }
 
-    private Deployment newDeployment() {
-        return new Deployment(
+    private DeploymentState newDeployment() {
+        return new DeploymentState(
                 platform.deploymentFormat(),
                 clock,
                 new UnreadableRows(metrics.counter(MetricName.of("rows_unreadable_total"))),
@@ -243,7 +242,7 @@
                 store,
                 CATALOG_PACE,
                 (rows, since, dueMs) -> {
-                    if (deployment.catalogRows(rows)) {
+                    if (deployment.applyCatalogRows(rows)) {
                         sharing.catalogChanged();
                     }
                 },
@@ -258,14 +257,14 @@
                 store,
                 SERVER_PACE,
                 (rows, since, dueMs) ->
-                        sharing.serversChanged(deployment.serverRows(rows, since, dueMs)),
+                        sharing.serversChanged(deployment.applyServerRows(rows, since, dueMs)),
                 reading::role,
                 control,
                 clock);
     }
 
-    private UseSharing useSharing() {
-        return new UseSharing(
+    private LoadSharing loadSharing() {
+        return new LoadSharing(
                 thread,
                 loads,
                 health,
@@ -282,7 +281,7 @@
                 metrics,
                 control,
                 news -> directory.known().forEach(p -> links.send(p, news)),
-                quarantineRows::save);
+                quarantineStore::save);
     }
 
     private SharedLimits sharedLimits() {
@@ -302,15 +301,15 @@
     private RelayShutdown relayShutdown() {
         return new RelayShutdown(
                 intake,
-                () -> thread.execute(kept::closeAll),
-                () -> thread.execute(underWay::endAll),
+                () -> thread.execute(keepAlive::closeAll),
+                () -> thread.execute(inFlight::endAll),
                 control,
                 clock,
                 settings.graceMs());
     }
 
-    private void toldUpTo(long revision) {
-        reading.told(serverFollower, revision);
+    private void onUpdates(long revision) {
+        reading.recordReceived(serverFollower, revision);
     }
 
     private void publish(RelayView next) {
@@ -329,7 +328,7 @@
                 });
     }
 
-    private RelayContext context(UseSharing uses) {
+    private RelayContext context(LoadSharing loadSharing) {
         SplittableRandom random = new SplittableRandom();
         return new RelayContext(
                 clock,
@@ -343,20 +342,20 @@
                 health,
                 ServerSelector.create(
                         loads, health, serverNotices, serverLimits, settings.domain(), random),
-                repeats,
-                new SharedRetryPermits(repeats, permits, clock),
+                retryBudgets,
+                new SharedRetryPermits(retryBudgets, permits, clock),
                 limits,
                 notices,
                 quarantine,
                 losses,
-                underWay,
+                inFlight,
                 WaitQueue.create(),
                 SilenceTimeouts.create(),
                 StreamDurationEstimator.create(),
                 random,
                 RelayMetrics.of(metrics, clock),
-                CONNECT_MS,
-                uses::changed);
+                CONNECT_TIMEOUT_MS,
+                loadSharing::scheduleReport);
     }
 
     private PeerLinks openLinks() {
@@ -364,11 +363,11 @@
         LinkSettings link =
                 new LinkSettings(
                         settings.peers(),
-                        LINK_CONNECT_MS,
+                        LINK_CONNECT_TIMEOUT_MS,
                         MAX_QUEUED_BYTES,
                         LINK_BACKOFF_MIN_MS,
                         LINK_BACKOFF_MAX_MS,
-                        LINK_SILENCE_MS,
+                        LINK_SILENCE_TIMEOUT_MS,
                         incarnation);
         return PeerLinks.open(
                 link,
@@ -417,7 +416,7 @@
      */
     public void reload(RelaySettings changed) {
         LogSetup.level(Level.valueOf(changed.logLevel().name()));
-        thread.execute(() -> repeats.update(changed.retryShare(), changed.retryAllowance()));
+        thread.execute(() -> retryBudgets.update(changed.retryShare(), changed.retryAllowance()));
         LOG.info("router: settings reloaded, log level {}", changed.logLevel());
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/RelaySettings.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelaySettings.java
@@ -57,8 +57,8 @@
     private static final int MAX_GRACE_S = 600;
     private static final int MIN_QUARANTINE_S = 60;
     private static final int MAX_QUARANTINE_S = 604_800;
-    private static final int QUARANTINE_S = 3_600;
-    private static final double MS_A_SECOND = 1_000;
+    private static final int DEFAULT_QUARANTINE_S = 3_600;
+    private static final double MS_PER_SECOND = 1_000;
 
     private static final ImmutableSet<String> SECTIONS =
             ImmutableSet.of(
@@ -145,7 +145,7 @@
                             .optional(
                                     "hold_s",
                                     ValueRule.decimal(MIN_QUARANTINE_S, MAX_QUARANTINE_S),
-                                    (double) QUARANTINE_S);
+                                    (double) DEFAULT_QUARANTINE_S);
             return new RelaySettings(
                     router.required("id", ValueRule.id(RouterId::of)),
                     router.required("domain", ValueRule.id(DomainId::of)),
@@ -156,8 +156,8 @@
                     section("store", "address").required("address", ADDRESS),
                     retries.required("share", ValueRule.decimal(0, MAX_SHARE)),
                     retries.required("allowance", ValueRule.decimal(0, MAX_ALLOWANCE)),
-                    Math.round(holdS * MS_A_SECOND),
-                    Math.round(graceS * MS_A_SECOND),
+                    Math.round(holdS * MS_PER_SECOND),
+                    Math.round(graceS * MS_PER_SECOND),
                     section("log", "level")
                             .optional("level", ValueRule.enumOf(LogLevel.class), LogLevel.INFO));
         }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayShutdown.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayShutdown.java
@@ -21,18 +21,18 @@
     private static final Logger LOG = LogManager.getLogger(RelayShutdown.class);
 
     /** What is left of the time of grace for closing, in ms. */
-    private static final long CLOSING_MS = 200;
+    private static final long CLOSE_RESERVE_MS = 200;
 
     /** Time for a late thread to write the last answers, before that, in ms. */
-    private static final long ANSWERS_MS = 300;
+    private static final long LAST_ANSWERS_MS = 300;
 
     /**
      * Time after which the balancer sends new connections elsewhere, in ms: two questions a second
      * apart, and their way. Closed sooner, callers would come back here.
      */
-    private static final long NOTICED_MS = 2_200;
+    private static final long BALANCER_REACTION_MS = 2_200;
 
-    private static final long LOOK_EVERY_MS = 50;
+    private static final long CHECK_INTERVAL_MS = 50;
 
     private final DrainingAdmission intake;
     private final Runnable closeIdle;
@@ -78,14 +78,14 @@
                     "router: leaving, told {} ms ago, {} requests under way",
                     now - sinceMs,
                     intake.inFlightCount());
-            long endsMs = sinceMs + Math.max(0, graceMs - CLOSING_MS - ANSWERS_MS);
+            long endsMs = sinceMs + Math.max(0, graceMs - CLOSE_RESERVE_MS - LAST_ANSWERS_MS);
             intake.startDraining(sinceMs, endsMs);
-            at(Math.min(sinceMs + NOTICED_MS, endsMs), closeIdle);
+            runAt(Math.min(sinceMs + BALANCER_REACTION_MS, endsMs), closeIdle);
             // Before the first look: a late thread must not close over requests without an answer.
-            at(endsMs, this::endRequests);
-            at(
+            runAt(endsMs, this::endRequests);
+            runAt(
                     Math.min(sinceMs + DrainingAdmission.BALANCER_DETECTION_MS, endsMs),
-                    () -> look(sinceMs));
+                    () -> check(sinceMs));
         }
         return done;
     }
@@ -103,7 +103,7 @@
         }
     }
 
-    private void look(long sinceMs) {
+    private void check(long sinceMs) {
         int left = intake.inFlightCount();
         if (left == 0) {
             // Before the last look: what came in between is refused, not cut off.
@@ -111,15 +111,15 @@
             left = intake.inFlightCount();
         }
         long passedMs = clock.nowMs() - sinceMs;
-        if (left == 0 || passedMs >= graceMs - CLOSING_MS) {
+        if (left == 0 || passedMs >= graceMs - CLOSE_RESERVE_MS) {
             LOG.info("router: left after {} ms, {} requests cut off", passedMs, left);
             done.complete(null);
             return;
         }
-        at(clock.nowMs() + LOOK_EVERY_MS, () -> look(sinceMs));
+        runAt(clock.nowMs() + CHECK_INTERVAL_MS, () -> check(sinceMs));
     }
 
-    private void at(long ms, Runnable step) {
+    private void runAt(long ms, Runnable step) {
         control.schedule(step, Math.max(0, ms - clock.nowMs()), TimeUnit.MILLISECONDS);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/ServerWordNews.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerUpdate.java
@@ -19,25 +19,25 @@
  *
  * @param server empty if its entry was removed
  */
-record ServerWordNews(EngineId id, long revision, Optional<BackendServer> server) {
+record ServerUpdate(EngineId id, long revision, Optional<BackendServer> server) {
     private static final int FIELDS = 9;
     private static final int MAX_TEXT_BYTES = 256;
 
-    ServerWordNews {
+    ServerUpdate {
         checkNotNull(id, "id");
         checkNotNull(server, "server");
     }
 
-    static ServerWordNews present(BackendServer server, long revision) {
-        return new ServerWordNews(server.id(), revision, Optional.of(server));
+    static ServerUpdate present(BackendServer server, long revision) {
+        return new ServerUpdate(server.id(), revision, Optional.of(server));
     }
 
-    static ServerWordNews removed(EngineId id, long revision) {
-        return new ServerWordNews(id, revision, Optional.empty());
+    static ServerUpdate removed(EngineId id, long revision) {
+        return new ServerUpdate(id, revision, Optional.empty());
     }
 
     /** Returns what it says, for the log. */
-    String state() {
+    String describe() {
         if (server.isEmpty()) {
             return "is gone";
         }
@@ -62,7 +62,7 @@
                         .orElse(ServerIncarnation.UNKNOWN_START));
     }
 
-    static ServerWordNews decode(MessageUnpacker in) throws IOException {
+    static ServerUpdate decode(MessageUnpacker in) throws IOException {
         try (Fields f = Fields.open(in, FIELDS)) {
             EngineId id = EngineId.of(f.text(MAX_TEXT_BYTES));
             long revision = f.int64();
--- a/masticweir/src/main/java/org/masticweir/relay/StoreReading.java
+++ b/masticweir/src/main/java/org/masticweir/relay/StoreReading.java
@@ -19,7 +19,7 @@
     private final ReadingShare share;
     private final Clock clock;
     private List<TableFollower> followers = List.of();
-    private ReadingRole last = ReadingRole.TOLD;
+    private ReadingRole lastRole = ReadingRole.TOLD;
 
     StoreReading(ReadingShare share, Clock clock) {
         this.share = checkNotNull(share, "share");
@@ -39,9 +39,9 @@
     /** Begins to read if it has become this router's part. */
     void tick() {
         ReadingRole role = role();
-        if (role != last) {
-            LOG.info("store: {} after {}, {}", role, last, share.basis(clock.nowMs()));
-            last = role;
+        if (role != lastRole) {
+            LOG.info("store: {} after {}, {}", role, lastRole, share.basis(clock.nowMs()));
+            lastRole = role;
         }
         if (role.reads()) {
             followers.forEach(TableFollower::resume);
@@ -49,17 +49,17 @@
     }
 
     /** Takes word of a router of the own domain. */
-    void heard(RouterId from, StoreContact contact) {
+    void recordContact(RouterId from, StoreContact contact) {
         share.heard(from, contact, clock.nowMs());
     }
 
     /** Takes note that the link from a router has closed. */
-    void closed(RouterId router) {
+    void recordLinkClosed(RouterId router) {
         share.closed(router);
     }
 
     /** Takes note that the servers' table is known up to {@code revision} by a reader's word. */
-    void told(TableFollower servers, long revision) {
+    void recordReceived(TableFollower servers, long revision) {
         servers.told(revision, share.wasLost(clock.nowMs()));
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** Returns whether this router must ask peers for what it lacks, as no store tells it. */
-    boolean needsPeers() {
+    boolean dependsOnPeers() {
         return !role().reads() || contact() == StoreContact.LOST;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/StoreSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/StoreSharing.java
@@ -16,9 +16,9 @@
 import org.masticweir.peer.PeerMessage;
 import org.masticweir.peer.PeerSender;
 import org.masticweir.peer.Reply;
-import org.masticweir.relay.RelayMessages.Pulse;
-import org.masticweir.relay.RelayMessages.ServerNews;
-import org.masticweir.relay.RelayMessages.ServersAsk;
+import org.masticweir.relay.RelayMessages.ServerUpdates;
+import org.masticweir.relay.RelayMessages.ServersRequest;
+import org.masticweir.relay.RelayMessages.StoreStatus;
 
 /**
  * What routers tell each other of the store; owned by the control thread.
@@ -32,104 +32,105 @@
     private static final Logger LOG = LogManager.getLogger(StoreSharing.class);
 
     /** Time between two pulses, in ms: half of the time in which a change must be in force. */
-    static final long PULSE_MS = 1_000;
+    static final long STATUS_INTERVAL_MS = 1_000;
 
     /** Time for a peer's answer, in ms. */
-    private static final long ASK_MS = 800;
+    private static final long REQUEST_TIMEOUT_MS = 800;
 
     private final PeerSender links;
     private final KnownRouters routers;
-    private final Deployment deployment;
+    private final DeploymentState deployment;
     private final CatalogSharing catalogs;
     private final StoreReading reading;
-    private final LongConsumer toldUpTo;
+    private final LongConsumer updatesReceived;
     private final ScheduledExecutorService control;
-    private long turn;
-    private boolean askingServers;
+    private long round;
+    private boolean requestInFlight;
 
     /**
      * Creates a sharing that tells nobody before {@link #start}.
      *
-     * @param toldUpTo hears up to which revision all words on servers are known from a reader
+     * @param updatesReceived hears up to which revision all words on servers are known from a
+     *     reader
      */
     StoreSharing(
             PeerSender links,
             KnownRouters routers,
-            Deployment deployment,
+            DeploymentState deployment,
             CatalogSharing catalogs,
             StoreReading reading,
-            LongConsumer toldUpTo,
+            LongConsumer updatesReceived,
             ScheduledExecutorService control) {
         this.links = checkNotNull(links, "links");
         this.routers = checkNotNull(routers, "routers");
         this.deployment = checkNotNull(deployment, "deployment");
         this.catalogs = checkNotNull(catalogs, "catalogs");
         this.reading = checkNotNull(reading, "reading");
-        this.toldUpTo = checkNotNull(toldUpTo, "toldUpTo");
+        this.updatesReceived = checkNotNull(updatesReceived, "updatesReceived");
         this.control = checkNotNull(control, "control");
-        catalogs.onNewer(this::catalogTold);
+        catalogs.onNewerVersion(this::catalogReceived);
     }
 
     /** Begins to tell peers what this router knows. */
     void start() {
-        every(PULSE_MS, this::askAll);
-        every(ReadingShare.WORD_MS, this::tellHome);
+        scheduleEvery(STATUS_INTERVAL_MS, this::pollPeers);
+        scheduleEvery(ReadingShare.WORD_MS, this::reportToOwnDomain);
     }
 
-    private void every(long ms, Runnable step) {
+    private void scheduleEvery(long ms, Runnable step) {
         control.scheduleWithFixedDelay(step, ms, ms, TimeUnit.MILLISECONDS);
     }
 
     /** Greets a peer whose link has come up: it may have been away for long. */
     void linkUp(RouterId peer) {
-        if (routers.told().contains(peer)) {
-            links.send(peer, ownPulse());
+        if (routers.storeRecipients().contains(peer)) {
+            links.send(peer, ownStatus());
         }
     }
 
     /** Tells that the catalog has changed by the store's word. */
     void catalogChanged() {
-        catalogs.changed();
-        send(routers.told(), ownPulse());
+        catalogs.recordCatalog();
+        send(routers.storeRecipients(), ownStatus());
     }
 
     /** Tells that the catalog has changed by a peer's word. */
-    private void catalogTold(RouterId by) {
-        if (!routers.isHome(by)) {
-            send(routers.home(), ownPulse());
+    private void catalogReceived(RouterId by) {
+        if (!routers.isInOwnDomain(by)) {
+            send(routers.ownDomain(), ownStatus());
         }
     }
 
     /** Tells what the store said of servers. */
-    void serversChanged(Optional<ServerNews> news) {
-        news.ifPresent(n -> send(routers.told(), n));
+    void serversChanged(Optional<ServerUpdates> news) {
+        news.ifPresent(n -> send(routers.storeRecipients(), n));
     }
 
-    private void send(Collection<RouterId> to, PeerMessage message) {
-        to.forEach(peer -> links.send(peer, message));
+    private void send(Collection<RouterId> recipients, PeerMessage message) {
+        recipients.forEach(peer -> links.send(peer, message));
     }
 
-    private Pulse ownPulse() {
-        return new Pulse(
+    private StoreStatus ownStatus() {
+        return new StoreStatus(
                 deployment.catalogVersion(),
                 reading.contact(),
-                deployment.newestWord(),
+                deployment.newestUpdate(),
                 deployment.completeTo());
     }
 
     /** Says more often than the pulse that this router reads: others stand in without it. */
-    void tellHome() {
+    void reportToOwnDomain() {
         if (reading.role().reads()) {
-            send(routers.home(), ownPulse());
+            send(routers.ownDomain(), ownStatus());
         }
     }
 
     /** Says to the routers whose turn it is what this one knows, and asks what they know. */
-    void askAll() {
-        Pulse own = ownPulse();
-        for (RouterId peer : routers.asked(turn++)) {
-            links.ask(peer, own, ASK_MS)
-                    .thenAccept(m -> onControl(() -> heard(peer, (Pulse) m)))
+    void pollPeers() {
+        StoreStatus status = ownStatus();
+        for (RouterId peer : routers.pollTargets(round++)) {
+            links.ask(peer, status, REQUEST_TIMEOUT_MS)
+                    .thenAccept(m -> onControl(() -> recordStatus(peer, (StoreStatus) m)))
                     .exceptionally(
                             e -> {
                                 LOG.debug("peers: no answer of {}, {}", peer, e.getMessage());
@@ -139,65 +140,65 @@
     }
 
     /** Takes a peer's pulse and answers with this router's. */
-    void pulse(RouterId from, Pulse theirs, Reply reply) {
-        heard(from, theirs);
-        reply.send(ownPulse());
+    void handleStatus(RouterId from, StoreStatus status, Reply reply) {
+        recordStatus(from, status);
+        reply.send(ownStatus());
     }
 
-    private void heard(RouterId from, Pulse theirs) {
-        if (routers.isHome(from)) {
-            reading.heard(from, theirs.contact());
+    private void recordStatus(RouterId from, StoreStatus status) {
+        if (routers.isInOwnDomain(from)) {
+            reading.recordContact(from, status.contact());
         }
-        boolean hearsStore = theirs.contact() == StoreContact.HEARD;
-        if (theirs.catalogVersion() > deployment.catalogVersion()) {
-            catalogs.heardOf(from, theirs.catalogVersion());
-        } else if (hearsStore) {
-            deployment.confirmed();
+        boolean isStoreAnswering = status.contact() == StoreContact.HEARD;
+        if (status.catalogVersion() > deployment.catalogVersion()) {
+            catalogs.handleVersion(from, status.catalogVersion());
+        } else if (isStoreAnswering) {
+            deployment.recordConfirmation();
         }
-        if (!deployment.peerKnows(theirs.newestWord(), theirs.completeTo())) {
-            askServers(from);
-        } else if (hearsStore) {
-            toldUpTo.accept(deployment.completeTo());
+        if (!deployment.recordPeerProgress(status.newestUpdate(), status.completeTo())) {
+            requestUpdates(from);
+        } else if (isStoreAnswering) {
+            updatesReceived.accept(deployment.completeTo());
         }
     }
 
     /** Takes a peer's words on servers. */
-    void words(RouterId from, ServerNews news) {
-        Deployment.Told told = deployment.peerWords(news, from.value());
-        if (!told.complete()) {
-            askServers(from);
+    void handleUpdates(RouterId from, ServerUpdates updates) {
+        DeploymentState.UpdateResult result = deployment.applyPeerUpdates(updates, from.value());
+        if (!result.isComplete()) {
+            requestUpdates(from);
         }
-        if (told.news() && !routers.isHome(from)) {
-            send(routers.home(), news);
+        if (result.hasChanges() && !routers.isInOwnDomain(from)) {
+            send(routers.ownDomain(), updates);
         }
     }
 
-    private void askServers(RouterId from) {
-        if (askingServers || !reading.needsPeers()) {
+    private void requestUpdates(RouterId from) {
+        if (requestInFlight || !reading.dependsOnPeers()) {
             return;
         }
-        askingServers = true;
-        links.ask(from, deployment.ask(), ASK_MS)
+        requestInFlight = true;
+        links.ask(from, deployment.updatesRequest(), REQUEST_TIMEOUT_MS)
                 .whenComplete(
                         (m, e) ->
                                 onControl(
                                         () -> {
-                                            askingServers = false;
-                                            answered(from, Optional.ofNullable(m));
+                                            requestInFlight = false;
+                                            handleReply(from, Optional.ofNullable(m));
                                         }));
     }
 
-    private void answered(RouterId from, Optional<PeerMessage> answer) {
+    private void handleReply(RouterId from, Optional<PeerMessage> answer) {
         if (answer.isEmpty()) {
             LOG.info("instances: {} did not give the words that are missing", from);
             return;
         }
-        deployment.peerWords((ServerNews) answer.get(), from.value());
+        deployment.applyPeerUpdates((ServerUpdates) answer.get(), from.value());
     }
 
     /** Gives a peer what it lacks of the words on servers. */
-    void answer(ServersAsk ask, Reply reply) {
-        reply.send(deployment.answer(ask));
+    void handleRequest(ServersRequest request, Reply reply) {
+        reply.send(deployment.replyTo(request));
     }
 
     private void onControl(Runnable step) {
--- a/masticweir/src/main/java/org/masticweir/relay/ThreadDelays.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ThreadDelays.java
@@ -22,11 +22,11 @@
 final class ThreadDelays {
     private static final Logger LOG = LogManager.getLogger(ThreadDelays.class);
 
-    private static final long PROBE_EVERY_MS = 500;
+    private static final long PROBE_INTERVAL_MS = 500;
     private static final long WINDOW_MS = 60_000;
 
     /** Delay from which a line is written, in ms. */
-    static final long LOGGED_MS = 100;
+    static final long LOG_THRESHOLD_MS = 100;
 
     private final ScheduledExecutorService control;
     private final Executor traffic;
@@ -48,7 +48,7 @@
 
     /** Measures from now on. */
     void start() {
-        probeAt(clock.nowMs() + PROBE_EVERY_MS);
+        probeAt(clock.nowMs() + PROBE_INTERVAL_MS);
     }
 
     private void probeAt(long dueMs) {
@@ -57,14 +57,14 @@
 
     private void probe(long dueMs) {
         long now = clock.nowMs();
-        traffic.execute(() -> measured(now - dueMs, clock.nowMs() - now));
-        probeAt(now + PROBE_EVERY_MS);
+        traffic.execute(() -> record(now - dueMs, clock.nowMs() - now));
+        probeAt(now + PROBE_INTERVAL_MS);
     }
 
-    private void measured(long controlLateMs, long trafficLateMs) {
+    private void record(long controlLateMs, long trafficLateMs) {
         controlMs.update(controlLateMs);
         trafficMs.update(trafficLateMs);
-        if (Math.max(controlLateMs, trafficLateMs) >= LOGGED_MS) {
+        if (Math.max(controlLateMs, trafficLateMs) >= LOG_THRESHOLD_MS) {
             LOG.info(
                     "router: the control thread ran {} ms late, the traffic thread {} ms",
                     controlLateMs,
--- a/masticweir/src/main/java/org/masticweir/relay/UnreadableRows.java
+++ b/masticweir/src/main/java/org/masticweir/relay/UnreadableRows.java
@@ -21,17 +21,17 @@
     private static final Logger LOG = LogManager.getLogger(UnreadableRows.class);
 
     /** Rows remembered; past that, the one that was reported longest ago may be reported again. */
-    private static final int MAX_REMEMBERED = 1_024;
+    private static final int MAX_ROWS = 1_024;
 
     /** Longest reason logged, in characters: it may quote the row, which can be long. */
-    private static final int MAX_REASON = 200;
+    private static final int MAX_REASON_CHARS = 200;
 
     private final Counter counter;
-    private final Map<RowKey, Long> reported =
+    private final Map<RowKey, Long> reportedRevisions =
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<RowKey, Long> eldest) {
-                    return size() > MAX_REMEMBERED;
+                    return size() > MAX_ROWS;
                 }
             };
 
@@ -39,8 +39,8 @@
         this.counter = checkNotNull(counter, "counter");
     }
 
-    void found(RowKey row, long revision, String reason) {
-        Long before = reported.put(row, revision);
+    void report(RowKey row, long revision, String reason) {
+        Long before = reportedRevisions.put(row, revision);
         if (before != null && before == revision) {
             return;
         }
@@ -49,6 +49,6 @@
                 "instances: row {} at revision {} names no server, {}",
                 row,
                 revision,
-                Ascii.truncate(reason, MAX_REASON, "..."));
+                Ascii.truncate(reason, MAX_REASON_CHARS, "..."));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/WordsKnown.java
+++ b/masticweir/src/main/java/org/masticweir/relay/UpdateProgress.java
@@ -7,7 +7,7 @@
  * a server that leaves is sent requests for good. Each message says after which revision its words
  * follow; where that lies beyond what is known, words are missing and are asked for.
  */
-final class WordsKnown {
+final class UpdateProgress {
     /** What all words follow: a message that gives it lists all servers that there are. */
     static final long START = -1;
 
@@ -15,22 +15,22 @@
     private long newest = START;
 
     /** Takes all that the store had at {@code revision}, the newest of it written at {@code at}. */
-    void read(long revision, long at) {
+    void recordReading(long revision, long newestRevision) {
         completeTo = Math.max(completeTo, revision);
-        newest = Math.max(newest, at);
+        newest = Math.max(newest, newestRevision);
     }
 
     /**
      * Takes all words after {@code after} up to {@code to}; returns whether none before is missing.
      *
-     * @param at revision of the newest of these words; {@code after} if there are none
+     * @param newestRevision revision of the newest of these words; {@code after} if there are none
      */
-    boolean told(long after, long to, long at) {
-        newest = Math.max(newest, at);
+    boolean recordUpdates(long after, long upTo, long newestRevision) {
+        newest = Math.max(newest, newestRevision);
         if (after > completeTo) {
             return false;
         }
-        completeTo = Math.max(completeTo, to);
+        completeTo = Math.max(completeTo, upTo);
         return true;
     }
 
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogSpreadTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogDistributionTest.java
@@ -14,7 +14,7 @@
  *
  * <p>The bound of a change is two seconds from the store's word, the shortest that deployments ask.
  */
-class CatalogSpreadTest {
+class CatalogDistributionTest {
     private static final int ROUTERS = 95;
     private static final int DOMAINS = 6;
     private static final int ROUTES = 1_600;
@@ -25,7 +25,7 @@
     private static final long SETTLED_MS = 8_000;
 
     /** What control may cost a router, in bytes a second. */
-    private static final long CONTROL_BYTES_PER_S = 12_000;
+    private static final long MAX_CONTROL_BYTES_PER_S = 12_000;
 
     /**
      * Returns a catalog as routers are given it: one entry a route, names that nobody can guess,
@@ -51,23 +51,23 @@
         return Long.toString(random.nextLong() >>> 24, Character.MAX_RADIX);
     }
 
-    private static StoreFleet settled(String catalog) {
-        StoreFleet fleet = new StoreFleet(ROUTERS, DOMAINS, BYTES_PER_MS, catalog);
+    private static SimulatedFleet settled(String catalog) {
+        SimulatedFleet fleet = new SimulatedFleet(ROUTERS, DOMAINS, BYTES_PER_MS, catalog);
         fleet.runFor(SETTLED_MS);
-        assertEquals(ROUTERS, fleet.holdersAfter(1, 0), "routers that have settled");
+        assertEquals(ROUTERS, fleet.countHoldersAfter(1, 0), "routers that have settled");
         return fleet;
     }
 
-    private static void assertInForceInTime(StoreFleet fleet, long version) {
-        assertEquals(ROUTERS, fleet.holdersAfter(version, BOUND_MS), "routers that hold it");
+    private static void assertInForceInTime(SimulatedFleet fleet, long version) {
+        assertEquals(ROUTERS, fleet.countHoldersAfter(version, BOUND_MS), "routers that hold it");
     }
 
     /**
      * A change was sent whole to each peer, later than the peers waited, and so again and again.
      */
     @Nested
-    class AChange {
-        private final StoreFleet fleet = settled(catalog(1, ROUTES));
+    class Change {
+        private final SimulatedFleet fleet = settled(catalog(1, ROUTES));
 
         @Test
         void ofOneLimitIsInForceEverywhereInTime() {
@@ -82,7 +82,7 @@
         }
 
         @Test
-        void afterWhichAnotherFollowsAtOnceIsInForceEverywhereInTime() {
+        void inRapidSuccessionIsInForceEverywhereInTime() {
             for (int version = 2; version <= 6; version++) {
                 fleet.store.catalog(catalog(version, ROUTES));
                 fleet.runFor(100);
@@ -91,7 +91,7 @@
         }
 
         @Test
-        void costsWhatControlMayCostForASecond() {
+        void staysWithinTheControlTrafficOfASecond() {
             fleet.runFor(1_000);
             long before = fleet.sentBytes();
             fleet.runFor(1_000);
@@ -99,13 +99,13 @@
             fleet.store.catalog(catalog(2, ROUTES));
             fleet.runFor(1_000);
             long extra = (fleet.sentBytes() - quiet - (quiet - before)) / ROUTERS;
-            assertTrue(extra <= CONTROL_BYTES_PER_S, extra + " bytes a router");
+            assertTrue(extra <= MAX_CONTROL_BYTES_PER_S, extra + " bytes a router");
         }
     }
 
     /** A reply came later than the ask waited, was dropped, and was asked for again for good. */
     @Nested
-    class AChangeLongerThanAnAskMayTake {
+    class ChangeSlowerThanTheRequestTimeout {
         private static final int TEAMS = 4_500;
         private static final int KEYS_A_TEAM = 4;
 
@@ -128,15 +128,16 @@
         }
 
         @Test
-        void isInForceEverywhereInTheEnd() {
-            StoreFleet fleet = settled(allKeysOf(1));
+        void isEventuallyInForceEverywhere() {
+            SimulatedFleet fleet = settled(allKeysOf(1));
             fleet.store.catalog(allKeysOf(2));
-            assertEquals(ROUTERS, fleet.holdersAfter(2, ANY_CHANGE_MS), "routers that hold it");
+            assertEquals(
+                    ROUTERS, fleet.countHoldersAfter(2, ANY_CHANGE_MS), "routers that hold it");
         }
 
         @Test
-        void goesTwiceToEachRouterAtMost() {
-            StoreFleet fleet = settled(allKeysOf(1));
+        void isSentAtMostTwiceToEachRouter() {
+            SimulatedFleet fleet = settled(allKeysOf(1));
             long packed = PackedEdit.of(DocumentEdit.between("", allKeysOf(2))).length();
             long before = fleet.sentBytes();
             fleet.store.catalog(allKeysOf(2));
@@ -148,34 +149,34 @@
 
     /** A list of many servers came later than the ask waited, and was asked for again for good. */
     @Nested
-    class AListOfServersLongerThanAnAskMayTake {
+    class ServerListSlowerThanTheRequestTimeout {
         private static final int SERVERS = 2_600;
-        private static final long IN_THE_END_MS = 10_000;
+        private static final long EVENTUAL_MS = 10_000;
 
         @Test
-        void isKnownEverywhereInTheEnd() {
-            StoreFleet fleet = settled("1");
-            fleet.cut = (from, to) -> true;
+        void isEventuallyReceivedEverywhere() {
+            SimulatedFleet fleet = settled("1");
+            fleet.isCut = (from, to) -> true;
             for (int i = 2; i <= SERVERS; i++) {
                 fleet.store.put("server-of-the-pool-" + i, Integer.toString(i));
             }
             fleet.store.put("e1", "82");
             fleet.runFor(1_000);
-            fleet.cut = (from, to) -> false;
-            List<StoreFleet.Router> all = List.copyOf(fleet.routers.values());
-            long tookMs = fleet.untilAllSee(all, "82", IN_THE_END_MS);
-            assertTrue(tookMs <= IN_THE_END_MS, "known by all after " + tookMs + " ms");
+            fleet.isCut = (from, to) -> false;
+            List<SimulatedFleet.Router> all = List.copyOf(fleet.routers.values());
+            long tookMs = fleet.timeUntilAllSee(all, "82", EVENTUAL_MS);
+            assertTrue(tookMs <= EVENTUAL_MS, "known by all after " + tookMs + " ms");
         }
     }
 
     /** What is longer than a frame between routers may be was never given to anybody. */
     @Nested
-    class ACatalogLongerThanAFrame {
+    class CatalogLongerThanAFrame {
         private static final int MANY_ROUTES = 6_000;
 
         @Test
         void isInForceEverywhereInTime() {
-            StoreFleet fleet = settled(catalog(1, MANY_ROUTES));
+            SimulatedFleet fleet = settled(catalog(1, MANY_ROUTES));
             fleet.store.catalog(catalog(2, MANY_ROUTES));
             assertInForceInTime(fleet, 2);
         }
@@ -185,20 +186,20 @@
      * A router that was cut off while versions came and went knows none that its peers remember.
      */
     @Nested
-    class ARouterThatWasAway {
+    class DisconnectedRouter {
         @Test
-        void getsTheNewestInTime() {
-            StoreFleet fleet = settled(catalog(1, ROUTES));
-            List<StoreFleet.Router> home = fleet.ranked("d0");
-            StoreFleet.Router away = home.get(home.size() - 1);
-            away.fault = StoreFleet.StoreFault.SILENT;
-            fleet.cut = (from, to) -> from.equals(away.at.id()) || to.equals(away.at.id());
+        void receivesTheNewestVersionInTime() {
+            SimulatedFleet fleet = settled(catalog(1, ROUTES));
+            List<SimulatedFleet.Router> home = fleet.byRank("d0");
+            SimulatedFleet.Router away = home.get(home.size() - 1);
+            away.fault = SimulatedFleet.StoreFault.SILENT;
+            fleet.isCut = (from, to) -> from.equals(away.at.id()) || to.equals(away.at.id());
             for (int version = 2; version <= 9; version++) {
                 fleet.store.catalog(catalog(version, ROUTES));
                 fleet.runFor(BOUND_MS);
             }
             assertEquals(1, away.catalogVersion());
-            fleet.cut = (from, to) -> false;
+            fleet.isCut = (from, to) -> false;
             assertInForceInTime(fleet, 9);
         }
     }
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogTextsTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogRepliesTest.java
@@ -10,31 +10,31 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.masticweir.config.DocumentEdit;
-import org.masticweir.relay.Deployment.CatalogText;
+import org.masticweir.relay.DeploymentState.CatalogText;
 import org.masticweir.relay.RelayMessages.CatalogReply;
 import org.masticweir.relay.RelayMessages.CatalogRequest;
 
 /** What a router gives others of the catalogs that came in force at it. */
-class CatalogTextsTest {
+class CatalogRepliesTest {
     @Property(tries = 500, seed = "39")
-    void anEditIsUnpackedAsItWasPacked(@ForAll String before, @ForAll String after) {
+    void unpackReversesPacking(@ForAll String before, @ForAll String after) {
         DocumentEdit edit = DocumentEdit.between(before, after);
         assertEquals(edit, PackedEdit.ofBytes(PackedEdit.of(edit).bytes()).unpack());
     }
 
     @Property(tries = 500, seed = "40")
-    void bytesThatAreNoEditAreToldSo(@ForAll byte[] bytes) {
+    void unpackRejectsInvalidBytes(@ForAll byte[] bytes) {
         assertThrows(IllegalArgumentException.class, () -> PackedEdit.ofBytes(bytes).unpack());
     }
 
     /** A router that asks, by what it holds. */
     @Nested
-    class Asked {
-        private final CatalogTexts texts = new CatalogTexts();
+    class Replies {
+        private final CatalogReplies texts = new CatalogReplies();
 
-        private void inForce(long from, long to) {
+        private void putInForce(long from, long to) {
             for (long version = from; version <= to; version++) {
-                texts.inForce(new CatalogText(version, text(version)));
+                texts.add(new CatalogText(version, text(version)));
             }
         }
 
@@ -42,49 +42,49 @@
             return version + "\n" + "{\"route\":\"the same\"}\n".repeat(100) + version;
         }
 
-        private Optional<String> given(long held) {
-            CatalogReply offer = texts.offer(new CatalogRequest(held, true));
+        private Optional<String> textFor(long held) {
+            CatalogReply offer = texts.replyTo(new CatalogRequest(held, true));
             return offer.edit().flatMap(edit -> edit.unpack().applyTo(text(held)));
         }
 
         @Test
-        void givesTheNewestWhateverIsHeld() {
-            inForce(1, 9);
+        void containTheNewestVersionForAnyHeldVersion() {
+            putInForce(1, 9);
             for (long held = 0; held < 9; held++) {
-                assertEquals(Optional.of(text(9)), given(held), "held " + held);
+                assertEquals(Optional.of(text(9)), textFor(held), "held " + held);
             }
         }
 
         @Test
-        void givesNothingToWhoHoldsTheNewest() {
-            assertEquals(CatalogReply.nothing(), texts.offer(new CatalogRequest(0, true)));
-            inForce(1, 2);
-            assertEquals(CatalogReply.nothing(), texts.offer(new CatalogRequest(2, true)));
-            assertEquals(CatalogReply.nothing(), texts.offer(new CatalogRequest(3, true)));
+        void areEmptyForTheNewestVersion() {
+            assertEquals(CatalogReply.nothing(), texts.replyTo(new CatalogRequest(0, true)));
+            putInForce(1, 2);
+            assertEquals(CatalogReply.nothing(), texts.replyTo(new CatalogRequest(2, true)));
+            assertEquals(CatalogReply.nothing(), texts.replyTo(new CatalogRequest(3, true)));
         }
 
         @Test
-        void givesTheWholeToAnOlderRouter() {
-            inForce(1, 2);
-            CatalogReply offer = texts.offer(new CatalogRequest(1, false));
+        void containTheFullTextForAnOlderRouter() {
+            putInForce(1, 2);
+            CatalogReply offer = texts.replyTo(new CatalogRequest(1, false));
             assertEquals(CatalogReply.whole(text(2)), offer);
         }
 
         /** Two routers hold different texts under one version; an edit must fit its own only. */
         @Test
-        void anEditFitsNoOtherText() {
-            inForce(1, 2);
-            CatalogReply offer = texts.offer(new CatalogRequest(1, true));
+        void containEditsThatApplyToNoOtherText() {
+            putInForce(1, 2);
+            CatalogReply offer = texts.replyTo(new CatalogRequest(1, true));
             DocumentEdit edit = offer.edit().orElseThrow().unpack();
             assertTrue(edit.applyTo(text(1)).isPresent());
             assertEquals(Optional.empty(), edit.applyTo("1\n" + "{\"route\":\"x\"}\n".repeat(400)));
         }
 
         @Test
-        void neverGoesBack() {
-            inForce(1, 5);
-            inForce(3, 3);
-            assertEquals(Optional.of(text(5)), given(4));
+        void neverUseAnOlderVersion() {
+            putInForce(1, 5);
+            putInForce(3, 3);
+            assertEquals(Optional.of(text(5)), textFor(4));
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogSchedulePropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogSchedulePropertyTest.java
@@ -10,8 +10,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.masticweir.id.RouterId;
-import org.masticweir.relay.StoreFleet.Router;
-import org.masticweir.relay.StoreFleet.StoreFault;
+import org.masticweir.relay.SimulatedFleet.Router;
+import org.masticweir.relay.SimulatedFleet.StoreFault;
 
 /**
  * Versions of the catalog in random schedules of faults: the store is late, silent or turns routers
@@ -25,18 +25,19 @@
     private static final long SETTLED_MS = 8_000;
 
     /** In which any change is in force everywhere once all is well, in ms. */
-    private static final long BOUND_MS = 10_000;
+    private static final long CONVERGENCE_MS = 10_000;
 
     private static final long[] ANSWERS_MS = {4, 100, 1_330, 3_000};
 
     /** A fleet, the newest version at the store, and what each router was last seen to hold. */
-    private static final class Play {
+    private static final class Simulation {
         private final SplittableRandom random;
-        private final StoreFleet fleet = new StoreFleet(ROUTERS, DOMAINS, BYTES_PER_MS, text(1));
-        private final Map<RouterId, Long> held = new HashMap<>();
+        private final SimulatedFleet fleet =
+                new SimulatedFleet(ROUTERS, DOMAINS, BYTES_PER_MS, text(1));
+        private final Map<RouterId, Long> observedVersions = new HashMap<>();
         private long version = 1;
 
-        Play(long seed) {
+        Simulation(long seed) {
             random = new SplittableRandom(seed);
             fleet.runFor(SETTLED_MS);
         }
@@ -45,7 +46,7 @@
             return version + "\n" + "{\"a route\"}\n".repeat(2_000) + version;
         }
 
-        private Router any() {
+        private Router randomRouter() {
             List<Router> all = List.copyOf(fleet.routers.values());
             return all.get(random.nextInt(all.size()));
         }
@@ -53,52 +54,52 @@
         void step() {
             switch (random.nextInt(7)) {
                 case 0, 1 -> fleet.store.catalog(text(++version));
-                case 2 -> fleet.store.answerMs = ANSWERS_MS[random.nextInt(ANSWERS_MS.length)];
-                case 3 -> any().fault = StoreFault.values()[random.nextInt(3)];
-                case 4 -> cutOff(any().at.id());
-                case 5 -> stop(any());
-                default -> fleet.cut = (from, to) -> false;
+                case 2 -> fleet.store.latencyMs = ANSWERS_MS[random.nextInt(ANSWERS_MS.length)];
+                case 3 -> randomRouter().fault = StoreFault.values()[random.nextInt(3)];
+                case 4 -> cutOff(randomRouter().at.id());
+                case 5 -> stop(randomRouter());
+                default -> fleet.isCut = (from, to) -> false;
             }
             fleet.runFor(random.nextInt(1_500));
-            nobodyHasGoneBack();
+            assertNoVersionDecreased();
         }
 
         private void cutOff(RouterId one) {
-            fleet.cut = (from, to) -> from.equals(one) || to.equals(one);
+            fleet.isCut = (from, to) -> from.equals(one) || to.equals(one);
         }
 
         /** A third of the routers go on to the end, so that there is a fleet to speak of. */
         private void stop(Router router) {
             long running = fleet.routers.values().stream().filter(r -> r.running).count();
             if (running > ROUTERS / 3) {
-                router.kill();
+                router.stopAndCloseLinks();
             }
         }
 
-        private void nobodyHasGoneBack() {
+        private void assertNoVersionDecreased() {
             for (Router router : fleet.routers.values()) {
                 long now = router.catalogVersion();
-                long before = held.getOrDefault(router.at.id(), 0L);
+                long before = observedVersions.getOrDefault(router.at.id(), 0L);
                 assertTrue(now >= before, router.at.id() + " from " + before + " to " + now);
-                held.put(router.at.id(), now);
+                observedVersions.put(router.at.id(), now);
             }
         }
 
-        void heal() {
-            fleet.cut = (from, to) -> false;
-            fleet.store.answerMs = ANSWERS_MS[0];
+        void endFaults() {
+            fleet.isCut = (from, to) -> false;
+            fleet.store.latencyMs = ANSWERS_MS[0];
             fleet.routers.values().forEach(r -> r.fault = StoreFault.NONE);
-            fleet.runFor(BOUND_MS);
+            fleet.runFor(CONVERGENCE_MS);
         }
     }
 
     @Property(tries = 60, seed = "39")
-    void nobodyGoesBackAndAllHoldTheNewestOnceAllIsWell(@ForAll long seed) {
-        Play play = new Play(seed);
+    void versionsNeverDecreaseAndAllRoutersConverge(@ForAll long seed) {
+        Simulation play = new Simulation(seed);
         for (int i = 0; i < STEPS; i++) {
             play.step();
         }
-        play.heal();
+        play.endFaults();
         for (Router router : play.fleet.routers.values()) {
             if (router.running) {
                 assertEquals(play.version, router.catalogVersion(), router.at.id() + " holds");
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogSharingTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogSharingTest.java
@@ -18,9 +18,9 @@
 
     private final ManualScheduler scheduler = new ManualScheduler();
     private final FakePeers peers = new FakePeers();
-    private final Deployment deployment =
-            new Deployment(
-                    new DeploymentTest.Form(),
+    private final DeploymentState deployment =
+            new DeploymentState(
+                    new DeploymentStateTest.TestFormat(),
                     scheduler.clock(),
                     new UnreadableRows(new Counter()),
                     view -> {});
@@ -41,68 +41,68 @@
         return CatalogReply.edit(PackedEdit.of(DocumentEdit.between(text(from), text(to))));
     }
 
-    private void inForce(long version) {
+    private void putInForce(long version) {
         deployment.catalogText(text(version), "store");
-        sharing.changed();
+        sharing.recordCatalog();
     }
 
-    private void reply(int ask, CatalogReply offer) {
-        peers.replies.get(ask).complete(offer);
+    private void reply(int request, CatalogReply catalog) {
+        peers.replies.get(request).complete(catalog);
         scheduler.runTo(scheduler.clock().nowMs() + 1);
     }
 
-    private void later() {
+    private void runPastHedgeDelay() {
         scheduler.runTo(scheduler.clock().nowMs() + HedgedPeerRequest.HEDGE_DELAY_MS);
     }
 
-    private long heldInAsk(int ask) {
+    private long heldVersionInRequest(int ask) {
         return ((CatalogRequest) peers.requests.get(ask)).newerThan();
     }
 
     /** A newer version came meanwhile; the edit of the older text was held to fit none. */
     @Test
-    void anEditThatComesLateFitsTheTextItWasAskedFor() {
-        inForce(1);
-        sharing.heardOf(FIRST, 2);
-        inForce(2);
+    void lateEditAppliesToTheTextAtTheRequest() {
+        putInForce(1);
+        sharing.handleVersion(FIRST, 2);
+        putInForce(2);
         reply(0, edit(1, 3));
         assertEquals(3, deployment.catalogVersion());
-        sharing.heardOf(SECOND, 4);
-        assertEquals(3, heldInAsk(1));
+        sharing.handleVersion(SECOND, 4);
+        assertEquals(3, heldVersionInRequest(1));
     }
 
     @Test
-    void anEditOfAnotherTextIsFollowedByAnAskForTheWhole() {
-        inForce(1);
-        sharing.heardOf(FIRST, 3);
+    void inapplicableEditLeadsToARequestForTheFullText() {
+        putInForce(1);
+        sharing.handleVersion(FIRST, 3);
         reply(0, edit(2, 3));
         assertEquals(1, deployment.catalogVersion());
-        sharing.heardOf(FIRST, 3);
-        assertEquals(0, heldInAsk(1));
+        sharing.handleVersion(FIRST, 3);
+        assertEquals(0, heldVersionInRequest(1));
         reply(1, CatalogReply.edit(PackedEdit.of(DocumentEdit.between("", text(3)))));
         assertEquals(3, deployment.catalogVersion());
     }
 
     /** Each pulse asked for the whole text of a version that could not be read. */
     @Test
-    void aVersionThatIsNotUnderstoodIsAskedForOnce() {
-        inForce(1);
-        sharing.heardOf(FIRST, 2);
+    void unparsableVersionIsRequestedOnce() {
+        putInForce(1);
+        sharing.handleVersion(FIRST, 2);
         reply(0, CatalogReply.whole("not a catalog"));
-        sharing.heardOf(FIRST, 2);
-        later();
-        sharing.heardOf(SECOND, 2);
+        sharing.handleVersion(FIRST, 2);
+        runPastHedgeDelay();
+        sharing.handleVersion(SECOND, 2);
         assertEquals(1, peers.recipients.size());
-        sharing.heardOf(SECOND, 3);
+        sharing.handleVersion(SECOND, 3);
         assertEquals(2, peers.recipients.size());
     }
 
     @Test
-    void asksOnWhileANewerVersionIsKnownOf() {
-        inForce(1);
-        sharing.heardOf(FIRST, 2);
-        sharing.heardOf(FIRST, 5);
+    void requestsAgainWhileANewerVersionIsAwaited() {
+        putInForce(1);
+        sharing.handleVersion(FIRST, 2);
+        sharing.handleVersion(FIRST, 5);
         reply(0, edit(1, 2));
-        assertEquals(2, heldInAsk(1));
+        assertEquals(2, heldVersionInRequest(1));
     }
 }
--- a/masticweir/src/test/java/org/masticweir/relay/ControlThreadTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ControlExecutorTest.java
@@ -7,14 +7,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Steps that fail on the control thread. */
-class ControlThreadTest {
+class ControlExecutorTest {
     private static final long WAIT_MS = 5_000;
 
     /** A router never hears of a newer configuration: its pulse had failed once and was over. */
     @Test
-    void periodicStepGoesOnAfterAFailure() throws InterruptedException {
+    void periodicTaskContinuesAfterAFailure() throws InterruptedException {
         CountDownLatch runs = new CountDownLatch(3);
-        ControlThread control = new ControlThread();
+        ControlExecutor control = new ControlExecutor();
         control.scheduleWithFixedDelay(
                 () -> {
                     runs.countDown();
--- a/masticweir/src/test/java/org/masticweir/relay/DeploymentTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/DeploymentStateTest.java
@@ -20,20 +20,20 @@
 import org.masticweir.catalog.ServiceName;
 import org.masticweir.id.DomainId;
 import org.masticweir.id.EngineId;
-import org.masticweir.relay.RelayMessages.ServerNews;
+import org.masticweir.relay.RelayMessages.ServerUpdates;
 import org.masticweir.store.FeedOutcome;
 import org.masticweir.store.RowKey;
 import org.masticweir.time.ManualClock;
 
 /** What a router believes of its deployment while rows come that it can't read. */
-class DeploymentTest {
+class DeploymentStateTest {
     static final String TABLE = "instances";
 
     /**
      * An entry is {@code PORT}, or {@code PORT@START}; a catalog is its version, and more lines
      * that nobody reads.
      */
-    static final class Form implements DeploymentFormat {
+    static final class TestFormat implements DeploymentFormat {
         @Override
         public RowKey catalogRow() {
             return RowKey.of("settings", "catalog");
@@ -72,8 +72,9 @@
     private final ManualClock clock = ManualClock.startingAt(10_000);
     private final Counter unreadable = new Counter();
     private RelayView view = RelayView.empty();
-    private final Deployment deployment =
-            new Deployment(new Form(), clock, new UnreadableRows(unreadable), v -> view = v);
+    private final DeploymentState deployment =
+            new DeploymentState(
+                    new TestFormat(), clock, new UnreadableRows(unreadable), v -> view = v);
 
     private static FeedOutcome.Change row(String key, long revision, Optional<String> value) {
         return new FeedOutcome.Change(RowKey.of(TABLE, key), revision, false, value);
@@ -87,23 +88,23 @@
         return row(key, revision, Optional.of(value));
     }
 
-    private Optional<ServerNews> rows(boolean whole, FeedOutcome.Change... changes) {
-        return rows(whole, clock.nowMs(), changes);
+    private Optional<ServerUpdates> applyRows(boolean whole, FeedOutcome.Change... changes) {
+        return applyRows(whole, clock.nowMs(), changes);
     }
 
-    private Optional<ServerNews> rows(
+    private Optional<ServerUpdates> applyRows(
             boolean whole, long removalDueMs, FeedOutcome.Change... changes) {
         long last = 0;
         for (FeedOutcome.Change change : changes) {
             last = Math.max(last, change.revision());
         }
         OptionalLong since = whole ? OptionalLong.empty() : OptionalLong.of(last - 1);
-        return deployment.serverRows(
+        return deployment.applyServerRows(
                 new FeedOutcome.Rows(List.of(changes), last), since, removalDueMs);
     }
 
-    private static ServerNews told(ServerWordNews word) {
-        return new ServerNews(word.revision() - 1, word.revision(), 0, List.of(word));
+    private static ServerUpdates updateMessage(ServerUpdate word) {
+        return new ServerUpdates(word.revision() - 1, word.revision(), 0, List.of(word));
     }
 
     private String servers() {
@@ -115,44 +116,44 @@
 
     /** A route or key was denied by a router that its peers had told of a newer catalog. */
     @Nested
-    class ANewerCatalogThatPeersHold {
-        private static final long SPAN_MS = Deployment.SURE_MS;
+    class NewerCatalogAtPeers {
+        private static final long FRESH_MS = DeploymentState.FRESH_MS;
 
-        private void inForce(long version) {
+        private void putInForce(long version) {
             deployment.catalogText(Long.toString(version), "store");
-            deployment.confirmed();
+            deployment.recordConfirmation();
             deployment.tick();
         }
 
-        private void heardOf(long version) {
-            deployment.heardOf(version);
+        private void versionReported(long version) {
+            deployment.recordVersion(version);
             deployment.tick();
         }
 
         @Test
-        void leavesTheRouterUnsureUntilItHoldsIt() {
-            inForce(1);
+        void endsFreshnessUntilItIsReceived() {
+            putInForce(1);
             assertTrue(view.isCatalogFresh());
-            heardOf(2);
+            versionReported(2);
             assertFalse(view.isCatalogFresh());
-            inForce(2);
+            putInForce(2);
             assertTrue(view.isCatalogFresh());
         }
 
         @Test
-        void countsNoMoreOnceNobodySpeaksOfIt() {
-            inForce(1);
-            heardOf(2);
-            clock.advanceMs(SPAN_MS + 1);
-            inForce(1);
+        void isIgnoredOnceNoPeerReportsIt() {
+            putInForce(1);
+            versionReported(2);
+            clock.advanceMs(FRESH_MS + 1);
+            putInForce(1);
             assertTrue(view.isCatalogFresh());
         }
 
         @Test
-        void isNoneThatIsHeldOrOlder() {
-            inForce(2);
-            heardOf(2);
-            heardOf(1);
+        void doesNotIncludeHeldOrOlderVersions() {
+            putInForce(2);
+            versionReported(2);
+            versionReported(1);
             assertTrue(view.isCatalogFresh());
         }
     }
@@ -164,8 +165,8 @@
     @Nested
     class RowsOfAnotherWriter {
         @Test
-        void nameNoServerAndHideNoOther() {
-            rows(
+        void addNoServerAndHideNoOther() {
+            applyRows(
                     true,
                     row("e1", 1, "81"),
                     row("e2", 2, "eighty"),
@@ -178,40 +179,42 @@
         }
 
         @Test
-        void takeAServerOutUntilItWritesAgain() {
-            rows(true, row("e1", 1, "81"), row("e2", 2, "82"));
-            assertEquals(1, rows(false, row("e1", 3, "???")).orElseThrow().words().size());
+        void removeAServerUntilItWritesAgain() {
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            assertEquals(1, applyRows(false, row("e1", 3, "???")).orElseThrow().updates().size());
             assertEquals("e2:82", servers());
-            rows(false, row("e1", 4, "81"));
+            applyRows(false, row("e1", 4, "81"));
             assertEquals("e1:81 e2:82", servers());
         }
 
         @Test
-        void withoutAStartThatTheServerTold() {
-            rows(true, row("e1", 1, "81@500"));
-            rows(false, row("e1", 2, "99"));
+        void areInvalidWithoutAKnownStartTime() {
+            applyRows(true, row("e1", 1, "81@500"));
+            applyRows(false, row("e1", 2, "99"));
             assertEquals("", servers());
-            rows(false, row("e1", 3, "81@500"));
+            applyRows(false, row("e1", 3, "81@500"));
             assertEquals("e1@500:81", servers());
         }
 
         @Test
-        void areReportedOnceARevision() {
-            rows(true, row("e1", 1, "?"));
-            rows(true, row("e1", 1, "?"));
+        void areReportedOncePerRevision() {
+            applyRows(true, row("e1", 1, "?"));
+            applyRows(true, row("e1", 1, "?"));
             assertEquals(1, unreadable.getCount());
-            rows(false, row("e1", 2, "?"));
+            applyRows(false, row("e1", 2, "?"));
             assertEquals(2, unreadable.getCount());
         }
 
         @Test
-        void leaveTheConfigurationInForce() {
+        void doNotReplaceTheCatalogInForce() {
             FeedOutcome.Change good =
-                    new FeedOutcome.Change(new Form().catalogRow(), 1, false, Optional.of("7"));
+                    new FeedOutcome.Change(
+                            new TestFormat().catalogRow(), 1, false, Optional.of("7"));
             FeedOutcome.Change bad =
-                    new FeedOutcome.Change(new Form().catalogRow(), 2, false, Optional.empty());
-            deployment.catalogRows(new FeedOutcome.Rows(List.of(good), 1));
-            deployment.catalogRows(new FeedOutcome.Rows(List.of(bad), 2));
+                    new FeedOutcome.Change(
+                            new TestFormat().catalogRow(), 2, false, Optional.empty());
+            deployment.applyCatalogRows(new FeedOutcome.Rows(List.of(good), 1));
+            deployment.applyCatalogRows(new FeedOutcome.Rows(List.of(bad), 2));
             assertEquals(7, view.catalog().orElseThrow().version());
         }
     }
@@ -221,53 +224,54 @@
      * reads nothing itself is not told of a removal, or not that it is doubted.
      */
     @Nested
-    class WhatPeersAreTold {
-        private final Deployment peer =
-                new Deployment(new Form(), clock, new UnreadableRows(unreadable), v -> {});
+    class RepliesToPeers {
+        private final DeploymentState peer =
+                new DeploymentState(
+                        new TestFormat(), clock, new UnreadableRows(unreadable), v -> {});
 
-        private void peerAsks() {
-            peer.peerWords(deployment.answer(peer.ask()), "r1");
+        private void peerRequestsUpdates() {
+            peer.applyPeerUpdates(deployment.replyTo(peer.updatesRequest()), "r1");
         }
 
         private String peerServers() {
-            return peer.after(WordsKnown.START).words().stream()
+            return peer.updatesAfter(UpdateProgress.START).updates().stream()
                     .map(w -> w.id().value())
                     .sorted()
                     .collect(Collectors.joining(" "));
         }
 
         @Test
-        void aPeerThatKnowsNothingIsGivenAll() {
-            rows(true, row("e1", 1, "81"), row("e2", 2, "82"));
-            peerAsks();
+        void listAllServersForANewPeer() {
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            peerRequestsUpdates();
             assertEquals("e1 e2", peerServers());
         }
 
         @Test
-        void aPeerThatHasTheSameIsGivenNoList() {
-            rows(true, row("e1", 1, "81"), row("e2", 2, "82"));
-            peerAsks();
-            rows(true, row("e1", 1, "81"), row("e2", 2, "82"));
-            assertEquals(List.of(), deployment.answer(peer.ask()).words());
+        void containNoListForAPeerWithTheSameServers() {
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            peerRequestsUpdates();
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            assertEquals(List.of(), deployment.replyTo(peer.updatesRequest()).updates());
         }
 
         @Test
-        void aPeerThatIsBehindIsGivenWhatChanged() {
-            rows(true, row("e1", 1, "81"), row("e2", 2, "82"));
-            peerAsks();
-            rows(false, removed("e1", 3));
-            rows(false, row("e3", 4, "83"));
-            assertEquals(2, deployment.answer(peer.ask()).words().size());
-            peerAsks();
+        void containTheChangesForAPeerThatIsBehind() {
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            peerRequestsUpdates();
+            applyRows(false, removed("e1", 3));
+            applyRows(false, row("e3", 4, "83"));
+            assertEquals(2, deployment.replyTo(peer.updatesRequest()).updates().size());
+            peerRequestsUpdates();
             assertEquals("e2 e3", peerServers());
         }
 
         @Test
-        void aRemovalThatIsDoubtedIsToldWithItsDoubt() {
-            rows(true, row("e1", 1, "81"), row("e2", 2, "82"));
-            peerAsks();
-            rows(false, clock.nowMs() + 2_000, removed("e1", 3));
-            peerAsks();
+        void containPendingRemovalsWithTheirDelay() {
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            peerRequestsUpdates();
+            applyRows(false, clock.nowMs() + 2_000, removed("e1", 3));
+            peerRequestsUpdates();
             clock.advanceMs(1_900);
             peer.tick();
             assertEquals(2, peer.serverCount());
@@ -277,11 +281,11 @@
         }
 
         @Test
-        void removalsOfAWholeReadingAreTold() {
-            rows(true, row("e1", 1, "81"), row("e2", 2, "82"));
-            peerAsks();
-            rows(true, row("e2", 5, "82"));
-            peerAsks();
+        void containRemovalsFoundByAFullReading() {
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            peerRequestsUpdates();
+            applyRows(true, row("e2", 5, "82"));
+            peerRequestsUpdates();
             assertEquals("e2", peerServers());
         }
     }
@@ -291,22 +295,22 @@
      * and a peer that the store turns away still tells of the life before.
      */
     @Nested
-    class ServersThatStartAgain {
+    class RestartedServers {
         @Test
-        void areWhereTheLaterLifeIs() {
-            rows(true, row("e1", 1, "81@500"));
-            rows(false, row("e1", 2, "91@900"));
+        void areAtTheAddressOfTheLaterLife() {
+            applyRows(true, row("e1", 1, "81@500"));
+            applyRows(false, row("e1", 2, "91@900"));
             assertEquals("e1@900:91", servers());
-            BackendServer old = new Form().server(EngineId.of("e1"), "81@500");
-            deployment.peerWords(told(ServerWordNews.present(old, 3)), "r2");
+            BackendServer old = new TestFormat().server(EngineId.of("e1"), "81@500");
+            deployment.applyPeerUpdates(updateMessage(ServerUpdate.present(old, 3)), "r2");
             assertEquals("e1@900:91", servers());
         }
 
         @Test
-        void areHeardOfFromPeers() {
-            rows(true, row("e1", 5, "81@500"));
-            BackendServer later = new Form().server(EngineId.of("e1"), "91@900");
-            deployment.peerWords(told(ServerWordNews.present(later, 4)), "r2");
+        void areReportedByPeers() {
+            applyRows(true, row("e1", 5, "81@500"));
+            BackendServer later = new TestFormat().server(EngineId.of("e1"), "91@900");
+            deployment.applyPeerUpdates(updateMessage(ServerUpdate.present(later, 4)), "r2");
             assertEquals("e1@900:91", servers());
         }
     }
--- a/masticweir/src/test/java/org/masticweir/relay/PlayedStore.java
+++ b/masticweir/src/test/java/org/masticweir/relay/FakeStore.java
@@ -14,40 +14,40 @@
 import org.masticweir.time.ManualScheduler;
 
 /** The platform's store: rows, their history, and calls that wait for a change. */
-final class PlayedStore {
-    private static final long PROMPT_MS = 4;
+final class FakeStore {
+    private static final long DEFAULT_LATENCY_MS = 4;
 
     private final ManualScheduler scheduler;
 
     long calls;
 
     /** How long each answer takes once there is something to say, in ms. */
-    long answerMs = PROMPT_MS;
+    long latencyMs = DEFAULT_LATENCY_MS;
 
     private final Map<RowKey, FeedOutcome.Change> rows =
             new TreeMap<>(Comparator.comparing(RowKey::table).thenComparing(RowKey::key));
     private final List<FeedOutcome.Change> history = new ArrayList<>();
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<Poll> polls = new ArrayList<>();
     private long revision = 10;
     private long oldest;
 
-    PlayedStore(ManualScheduler scheduler) {
+    FakeStore(ManualScheduler scheduler) {
         this.scheduler = scheduler;
     }
 
     /** A call that waits for a change. */
-    private record Waiting(
-            StoreFleet.Router router,
+    private record Poll(
+            SimulatedFleet.Router router,
             String table,
             long since,
             CompletableFuture<FeedOutcome> answer) {}
 
     void put(String server, String value) {
-        change(RowKey.of(DeploymentTest.TABLE, server), Optional.of(value));
+        change(RowKey.of(DeploymentStateTest.TABLE, server), Optional.of(value));
     }
 
     void remove(String server) {
-        change(RowKey.of(DeploymentTest.TABLE, server), Optional.empty());
+        change(RowKey.of(DeploymentStateTest.TABLE, server), Optional.empty());
     }
 
     void catalog(long version) {
@@ -55,11 +55,11 @@
     }
 
     void catalog(String text) {
-        change(new DeploymentTest.Form().catalogRow(), Optional.of(text));
+        change(new DeploymentStateTest.TestFormat().catalogRow(), Optional.of(text));
     }
 
     /** Drops what has changed so far. */
-    void forgetHistory() {
+    void discardHistory() {
         oldest = ++revision;
         history.clear();
     }
@@ -72,13 +72,12 @@
         } else {
             rows.remove(key);
         }
-        List<Waiting> hearing =
-                waiting.stream().filter(w -> w.table().equals(key.table())).toList();
-        waiting.removeAll(hearing);
-        hearing.forEach(w -> later(w.router(), () -> w.answer().complete(after(w))));
+        List<Poll> affected = polls.stream().filter(w -> w.table().equals(key.table())).toList();
+        polls.removeAll(affected);
+        affected.forEach(w -> answerLater(w.router(), () -> w.answer().complete(after(w))));
     }
 
-    private FeedOutcome after(Waiting call) {
+    private FeedOutcome after(Poll call) {
         if (call.since() < oldest) {
             return new FeedOutcome.HistoryGone();
         }
@@ -90,77 +89,77 @@
                 revision);
     }
 
-    private void later(StoreFleet.Router router, Runnable answer) {
+    private void answerLater(SimulatedFleet.Router router, Runnable answer) {
         scheduler.at(
-                scheduler.clock().nowMs() + answerMs,
+                scheduler.clock().nowMs() + latencyMs,
                 () -> {
-                    if (router.running && router.fault != StoreFleet.StoreFault.SILENT) {
+                    if (router.running && router.fault != SimulatedFleet.StoreFault.SILENT) {
                         answer.run();
                     }
                 });
     }
 
-    ChangeFeed of(StoreFleet.Router router) {
+    ChangeFeed clientFor(SimulatedFleet.Router router) {
         return new ChangeFeed() {
             @Override
             public CompletableFuture<FeedOutcome> readAll(String table, long timeoutMs) {
                 return call(
                         router,
                         timeoutMs,
-                        answer -> later(router, () -> answer.complete(whole(table))));
+                        answer -> answerLater(router, () -> answer.complete(allRows(table))));
             }
 
             @Override
             public CompletableFuture<FeedOutcome> changes(
                     String table, long since, long waitMs, long timeoutMs) {
                 return call(
-                        router, timeoutMs, answer -> await(router, table, since, waitMs, answer));
+                        router, timeoutMs, answer -> poll(router, table, since, waitMs, answer));
             }
         };
     }
 
-    private FeedOutcome whole(String table) {
+    private FeedOutcome allRows(String table) {
         return new FeedOutcome.Rows(
                 rows.values().stream().filter(c -> c.key().table().equals(table)).toList(),
                 revision);
     }
 
     private CompletableFuture<FeedOutcome> call(
-            StoreFleet.Router router,
+            SimulatedFleet.Router router,
             long timeoutMs,
-            Consumer<CompletableFuture<FeedOutcome>> made) {
+            Consumer<CompletableFuture<FeedOutcome>> onAccepted) {
         calls++;
         CompletableFuture<FeedOutcome> answer = new CompletableFuture<>();
         scheduler.at(
                 scheduler.clock().nowMs() + timeoutMs,
                 () -> answer.complete(new FeedOutcome.Failed("no answer in time")));
-        if (router.fault == StoreFleet.StoreFault.REFUSED) {
-            later(router, () -> answer.complete(new FeedOutcome.Failed("status 503")));
-        } else if (router.fault == StoreFleet.StoreFault.NONE) {
-            made.accept(answer);
+        if (router.fault == SimulatedFleet.StoreFault.REFUSED) {
+            answerLater(router, () -> answer.complete(new FeedOutcome.Failed("status 503")));
+        } else if (router.fault == SimulatedFleet.StoreFault.NONE) {
+            onAccepted.accept(answer);
         }
         return answer;
     }
 
-    private void await(
-            StoreFleet.Router router,
+    private void poll(
+            SimulatedFleet.Router router,
             String table,
             long since,
             long waitMs,
             CompletableFuture<FeedOutcome> answer) {
-        Waiting call = new Waiting(router, table, since, answer);
+        Poll call = new Poll(router, table, since, answer);
         FeedOutcome now = after(call);
         boolean answersNow = !(now instanceof FeedOutcome.Rows rows) || !rows.changes().isEmpty();
         if (answersNow) {
-            later(router, () -> answer.complete(now));
+            answerLater(router, () -> answer.complete(now));
             return;
         }
-        waiting.add(call);
+        polls.add(call);
         scheduler.at(
                 scheduler.clock().nowMs() + waitMs,
                 () -> {
-                    if (waiting.remove(call)) {
-                        later(router, () -> answer.complete(after(call)));
+                    if (polls.remove(call)) {
+                        answerLater(router, () -> answer.complete(after(call)));
                     }
                 });
     }
--- a/masticweir/src/test/java/org/masticweir/relay/RelaySettingsTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/RelaySettingsTest.java
@@ -53,20 +53,20 @@
 
         @ParameterizedTest
         @CsvSource({"-1", "-0.5", "1000000.5", "Infinity", "NaN", "many", "''"})
-        void otherAllowancesAreNamedWithWhatIsAllowed(String text) {
+        void invalidAllowanceIsReportedWithTheValidRange(String text) {
             assertProblem(
                     "[retries] allowance", "from 0.0 to 1000000.0", () -> parse("0.8", text, "8"));
         }
 
         @ParameterizedTest
         @CsvSource({"-0.1", "10.1", "Infinity", "NaN", "most", "''"})
-        void otherSharesAreNamedWithWhatIsAllowed(String text) {
+        void invalidShareIsReportedWithTheValidRange(String text) {
             assertProblem("[retries] share", "from 0.0 to 10.0", () -> parse(text, "150", "8"));
         }
 
         @ParameterizedTest
         @CsvSource({"-1", "600.5", "Infinity", "NaN", "soon", "''"})
-        void otherGracesAreNamedWithWhatIsAllowed(String text) {
+        void invalidGraceIsReportedWithTheValidRange(String text) {
             assertProblem(
                     "[shutdown] grace_s", "from 0.0 to 600.0", () -> parse("0.8", "150", text));
         }
--- a/masticweir/src/test/java/org/masticweir/relay/RelayShutdownTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/RelayShutdownTest.java
@@ -20,8 +20,8 @@
     private final DrainingAdmission intake = new DrainingAdmission();
     private long idleClosedAtMs;
     private long endedAtMs;
-    private long lateMs;
-    private int underWayAtTheEnd;
+    private long answerDelayMs;
+    private int inFlightAtTheEnd;
     private final RelayShutdown shutdown =
             new RelayShutdown(
                     intake, this::closeIdle, this::endRequests, control, control.clock(), GRACE_MS);
@@ -32,13 +32,13 @@
 
     private void endRequests() {
         endedAtMs = control.clock().nowMs();
-        if (lateMs > 0) {
-            control.at(endedAtMs + lateMs, intake::requestEnded);
+        if (answerDelayMs > 0) {
+            control.at(endedAtMs + answerDelayMs, intake::requestEnded);
         }
     }
 
     @Test
-    void isOverOnceTheBalancerHasNoticedAndNothingIsUnderWay() {
+    void completesAfterTheBalancerReactsIfNoRequestIsInFlight() {
         CompletableFuture<Void> done = shutdown.start(0);
         control.runTo(DrainingAdmission.BALANCER_DETECTION_MS - 1);
         assertFalse(done.isDone());
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void waitsForWhatIsUnderWay() {
+    void waitsForRequestsInFlight() {
         intake.requestStarted();
         CompletableFuture<Void> done = shutdown.start(0);
         control.runTo(5_000);
@@ -82,18 +82,18 @@
 
     /** The process ends over requests that a busy thread was about to answer. */
     @Test
-    void waitsForAnswersOfALateThread() {
-        lateMs = 250;
+    void waitsForAnswersOnALateThread() {
+        answerDelayMs = 250;
         intake.requestStarted();
         CompletableFuture<Void> done = shutdown.start(0);
-        done.thenRun(() -> underWayAtTheEnd = intake.inFlightCount());
+        done.thenRun(() -> inFlightAtTheEnd = intake.inFlightCount());
         control.runTo(GRACE_MS);
         assertTrue(done.isDone());
-        assertEquals(0, underWayAtTheEnd);
+        assertEquals(0, inFlightAtTheEnd);
     }
 
     @Test
-    void takesNoRequestThatMayEndLater() {
+    void refusesRequestsThatMayEndLater() {
         intake.requestStarted();
         shutdown.start(0);
         long endsMs = intake.remainingMs(0);
@@ -108,7 +108,7 @@
      * killed with requests under way that it had time for by its own count.
      */
     @Test
-    void countsFromTheOrderThatWaitedForTheStart() {
+    void gracePeriodBeginsAtTheShutdownRequest() {
         intake.requestStarted();
         control.runTo(DrainingAdmission.STREAM_ADMISSION_MS);
         CompletableFuture<Void> done = shutdown.start(0);
--- a/masticweir/src/test/java/org/masticweir/relay/LeaveSchedulePropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ShutdownSchedulePropertyTest.java
@@ -21,14 +21,14 @@
 import org.masticweir.time.ManualScheduler;
 
 /** Routers that leave, under random requests and orders that are heard late. */
-class LeaveSchedulePropertyTest {
+class ShutdownSchedulePropertyTest {
     private static final long GRACE_MS = 8_000;
 
     /** Time after the order until which the platform excuses a stream that is broken off. */
-    private static final long EXCUSED_MS = 3_000;
+    private static final long TOLERATED_MS = 3_000;
 
     /** Longest time for which an order waits for the router, in ms; a part of a start. */
-    private static final int MOST_LATE_MS = 2_000;
+    private static final int MAX_DELAY_MS = 2_000;
 
     /**
      * A request.
@@ -54,29 +54,29 @@
     }
 
     /** One router from the order to its end; time counts from the order. */
-    private static final class Leave {
+    private static final class Simulation {
         private final ManualScheduler control = new ManualScheduler();
         private final DrainingAdmission intake = new DrainingAdmission();
-        private final Set<Arrival> underWay = new HashSet<>();
-        private final List<Arrival> broken = new ArrayList<>();
+        private final Set<Arrival> inFlight = new HashSet<>();
+        private final List<Arrival> cutOff = new ArrayList<>();
         private final RelayShutdown shutdown =
                 new RelayShutdown(
                         intake, () -> {}, this::endRequests, control, control.clock(), GRACE_MS);
         private CompletableFuture<Void> done = new CompletableFuture<>();
         private long doneAtMs = Long.MAX_VALUE;
 
-        void play(List<Arrival> arrivals, long heardMs) {
-            arrivals.forEach(a -> control.at(a.atMs(), () -> arrives(a)));
-            control.at(heardMs, this::hear);
+        void run(List<Arrival> arrivals, long requestedMs) {
+            arrivals.forEach(a -> control.at(a.atMs(), () -> handleArrival(a)));
+            control.at(requestedMs, this::startShutdown);
             control.runTo(GRACE_MS);
         }
 
-        private void hear() {
+        private void startShutdown() {
             done = shutdown.start(0);
             done.thenRun(() -> doneAtMs = control.clock().nowMs());
         }
 
-        private void arrives(Arrival arrival) {
+        private void handleArrival(Arrival arrival) {
             long now = control.clock().nowMs();
             boolean taken =
                     arrival.stream()
@@ -84,51 +84,51 @@
                             : intake.admits(arrival.timeoutMs(), now);
             if (taken && !done.isDone()) {
                 intake.requestStarted();
-                underWay.add(arrival);
+                inFlight.add(arrival);
                 control.at(Math.max(now, arrival.endsMs()), () -> end(arrival));
             }
         }
 
         private void end(Arrival arrival) {
-            if (underWay.remove(arrival)) {
+            if (inFlight.remove(arrival)) {
                 intake.requestEnded();
             }
         }
 
         private void endRequests() {
-            broken.addAll(underWay);
-            List.copyOf(underWay).forEach(this::end);
+            cutOff.addAll(inFlight);
+            List.copyOf(inFlight).forEach(this::end);
         }
     }
 
     @Property(tries = 500)
     void noRequestIsCutOffByTheEndOfTheProcess(
             @ForAll List<@From("arrivals") Arrival> arrivals,
-            @ForAll @IntRange(max = MOST_LATE_MS) int heardMs) {
-        Leave leave = new Leave();
-        leave.play(arrivals, heardMs);
-        assertTrue(leave.doneAtMs < GRACE_MS, "done at " + leave.doneAtMs);
-        assertEquals(Set.of(), leave.underWay);
+            @ForAll @IntRange(max = MAX_DELAY_MS) int requestedMs) {
+        Simulation simulation = new Simulation();
+        simulation.run(arrivals, requestedMs);
+        assertTrue(simulation.doneAtMs < GRACE_MS, "done at " + simulation.doneAtMs);
+        assertEquals(Set.of(), simulation.inFlight);
     }
 
     /** A stream that is broken off has an excuse; any other request is never broken off. */
     @Property(tries = 500)
-    void noRequestThatComesLateIsBrokenOff(
+    void onlyEarlyStreamsAreCutOff(
             @ForAll List<@From("arrivals") Arrival> arrivals,
-            @ForAll @IntRange(max = MOST_LATE_MS) int heardMs) {
-        Leave leave = new Leave();
-        leave.play(arrivals, heardMs);
-        for (Arrival broken : leave.broken) {
+            @ForAll @IntRange(max = MAX_DELAY_MS) int requestedMs) {
+        Simulation simulation = new Simulation();
+        simulation.run(arrivals, requestedMs);
+        for (Arrival broken : simulation.cutOff) {
             assertTrue(broken.stream(), broken + " had a timeout");
-            assertTrue(broken.atMs() <= EXCUSED_MS, broken + " came late");
+            assertTrue(broken.atMs() <= TOLERATED_MS, broken + " came late");
         }
     }
 
     /** A booking is broken off in the millisecond in which its time would have ended. */
     @Test
-    void requestThatMayEndAsTheOthersAreEndedIsNotTaken() {
-        Leave leave = new Leave();
-        leave.play(List.of(new Arrival(7_297, false, 203, 1, 203)), 0);
-        assertEquals(List.of(), leave.broken);
+    void requestWhoseTimeoutMeetsTheEndIsRefused() {
+        Simulation simulation = new Simulation();
+        simulation.run(List.of(new Arrival(7_297, false, 203, 1, 203)), 0);
+        assertEquals(List.of(), simulation.cutOff);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/relay/StoreFleet.java
+++ b/masticweir/src/test/java/org/masticweir/relay/SimulatedFleet.java
@@ -24,17 +24,17 @@
 import org.masticweir.peer.PeerSender;
 import org.masticweir.peer.Reply;
 import org.masticweir.relay.RelayMessages.CatalogRequest;
-import org.masticweir.relay.RelayMessages.Pulse;
-import org.masticweir.relay.RelayMessages.RouterAt;
-import org.masticweir.relay.RelayMessages.ServerNews;
-import org.masticweir.relay.RelayMessages.ServersAsk;
+import org.masticweir.relay.RelayMessages.RouterInfo;
+import org.masticweir.relay.RelayMessages.ServerUpdates;
+import org.masticweir.relay.RelayMessages.ServersRequest;
+import org.masticweir.relay.RelayMessages.StoreStatus;
 import org.masticweir.time.ManualScheduler;
 
 /**
  * Routers that read a store together, in one process and on a clock of its own: the decisions and
  * messages are the product's, links and store are played here with the faults that a test sets.
  */
-final class StoreFleet {
+final class SimulatedFleet {
     private static final long LINK_MS = 1;
     private static final long TICK_MS = 100;
     private static final long WAIT_MS = 3_000;
@@ -51,17 +51,17 @@
     }
 
     final ManualScheduler scheduler = new ManualScheduler();
-    final PlayedStore store = new PlayedStore(scheduler);
+    final FakeStore store = new FakeStore(scheduler);
     final Map<RouterId, Router> routers = new LinkedHashMap<>();
 
     /** Links that carry nothing, from the first router to the second. */
-    BiPredicate<RouterId, RouterId> cut = (from, to) -> false;
+    BiPredicate<RouterId, RouterId> isCut = (from, to) -> false;
 
     long messages;
 
     private final double bytesPerMs;
 
-    StoreFleet(int count, int domains) {
+    SimulatedFleet(int count, int domains) {
         this(count, domains, Double.POSITIVE_INFINITY, "1");
     }
 
@@ -71,21 +71,21 @@
      * @param bytesPerMs what the link of each router carries to its peers
      * @param catalog the first catalog's text
      */
-    StoreFleet(int count, int domains, double bytesPerMs, String catalog) {
+    SimulatedFleet(int count, int domains, double bytesPerMs, String catalog) {
         this.bytesPerMs = bytesPerMs;
         store.put("e1", "81");
         store.catalog(catalog);
         for (int i = 0; i < count; i++) {
             RouterId id = RouterId.of("r" + i);
-            RouterAt at =
-                    new RouterAt(
+            RouterInfo at =
+                    new RouterInfo(
                             id,
                             DomainId.of("d" + i % domains),
                             new InetSocketAddress("127.0.0.1", 1 + i));
             routers.put(id, new Router(at));
         }
         for (Router router : routers.values()) {
-            routers.values().forEach(other -> router.known.learn(other.at));
+            routers.values().forEach(other -> router.knownRouters.add(other.at));
         }
         routers.values().forEach(Router::start);
     }
@@ -103,7 +103,7 @@
     }
 
     /** Returns the routers of {@code domain} in the order in which they are to read. */
-    List<Router> ranked(String domain) {
+    List<Router> byRank(String domain) {
         List<Router> ranked = new ArrayList<>(domain(domain));
         ranked.sort((a, b) -> Long.compare(weight(b), weight(a)));
         return ranked;
@@ -119,16 +119,16 @@
     }
 
     /** Returns how many routers hold {@code version} of the catalog in {@code ms} from now. */
-    long holdersAfter(long version, long ms) {
+    long countHoldersAfter(long version, long ms) {
         runFor(ms);
         return routers.values().stream().filter(r -> r.catalogVersion() == version).count();
     }
 
     /** Runs until all of {@code waiting} see {@code port} of server e1; returns how long, in ms. */
-    long untilAllSee(List<Router> waiting, String port, long mostMs) {
+    long timeUntilAllSee(List<Router> observers, String port, long limitMs) {
         long startMs = nowMs();
-        while (!waiting.stream().allMatch(r -> r.sees().equals(port))) {
-            if (nowMs() - startMs > mostMs) {
+        while (!observers.stream().allMatch(r -> r.seenPort().equals(port))) {
+            if (nowMs() - startMs > limitMs) {
                 return Long.MAX_VALUE;
             }
             runFor(10);
@@ -138,9 +138,9 @@
 
     /** One router: its beliefs, its part in reading, and what it tells. */
     final class Router implements PeerSender {
-        final RouterAt at;
-        final KnownRouters known;
-        final Deployment deployment;
+        final RouterInfo at;
+        final KnownRouters knownRouters;
+        final DeploymentState deployment;
         boolean running = true;
         StoreFault fault = StoreFault.NONE;
         RelayView view = RelayView.empty();
@@ -149,14 +149,14 @@
         private final StoreSharing sharing;
         private final TableFollower servers;
         private final TableFollower catalog;
-        private final Uplink uplink = new Uplink(scheduler, bytesPerMs);
+        private final SimulatedUplink uplink = new SimulatedUplink(scheduler, bytesPerMs);
 
-        Router(RouterAt at) {
+        Router(RouterInfo at) {
             this.at = at;
-            known = new KnownRouters(at);
+            knownRouters = new KnownRouters(at);
             deployment =
-                    new Deployment(
-                            new DeploymentTest.Form(),
+                    new DeploymentState(
+                            new DeploymentStateTest.TestFormat(),
                             scheduler.clock(),
                             new UnreadableRows(new Counter()),
                             v -> view = v);
@@ -166,21 +166,27 @@
                             this, deployment, scheduler, scheduler.clock(), new MetricRegistry());
             sharing =
                     new StoreSharing(
-                            this, known, deployment, catalogs, reading, this::toldUpTo, scheduler);
+                            this,
+                            knownRouters,
+                            deployment,
+                            catalogs,
+                            reading,
+                            this::onUpdates,
+                            scheduler);
             FeedPace pace = FeedPace.of(WAIT_MS, GRACE_MS, 700);
             servers =
                     follower(
-                            DeploymentTest.TABLE,
+                            DeploymentStateTest.TABLE,
                             pace,
                             (rows, since, dueMs) ->
                                     sharing.serversChanged(
-                                            deployment.serverRows(rows, since, dueMs)));
+                                            deployment.applyServerRows(rows, since, dueMs)));
             catalog =
                     follower(
-                            new DeploymentTest.Form().catalogRow().table(),
+                            new DeploymentStateTest.TestFormat().catalogRow().table(),
                             FeedPace.of(WAIT_MS, GRACE_MS, 50),
                             (rows, since, dueMs) -> {
-                                if (deployment.catalogRows(rows)) {
+                                if (deployment.applyCatalogRows(rows)) {
                                     sharing.catalogChanged();
                                 }
                             });
@@ -189,7 +195,7 @@
         private TableFollower follower(String table, FeedPace pace, FeedListener listener) {
             return new TableFollower(
                     table,
-                    store.of(this),
+                    store.clientFor(this),
                     pace,
                     listener,
                     reading::role,
@@ -197,15 +203,15 @@
                     scheduler.clock());
         }
 
-        private void toldUpTo(long revision) {
-            reading.told(servers, revision);
+        private void onUpdates(long revision) {
+            reading.recordReceived(servers, revision);
         }
 
         void start() {
             scheduler.execute(() -> reading.follow(catalog, servers));
             every(TICK_MS, this::tick);
-            every(StoreSharing.PULSE_MS, sharing::askAll);
-            every(ReadingShare.WORD_MS, sharing::tellHome);
+            every(StoreSharing.STATUS_INTERVAL_MS, sharing::pollPeers);
+            every(ReadingShare.WORD_MS, sharing::reportToOwnDomain);
         }
 
         private void tick() {
@@ -225,14 +231,14 @@
         }
 
         /** Ends without a word; its links stay silent, as when power is lost. */
-        void losePower() {
+        void stopSilently() {
             running = false;
         }
 
         /** Ends, and the links to it close. */
-        void kill() {
+        void stopAndCloseLinks() {
             running = false;
-            routers.values().forEach(r -> r.reading.closed(at.id()));
+            routers.values().forEach(r -> r.reading.recordLinkClosed(at.id()));
         }
 
         ReadingRole role() {
@@ -240,7 +246,7 @@
         }
 
         /** Returns the port at which it believes server e1 to be; nothing if it knows none. */
-        String sees() {
+        String seenPort() {
             return view.servers().values().stream()
                     .filter(s -> s.id().value().equals("e1"))
                     .map(s -> Integer.toString(s.address().getPort()))
@@ -249,7 +255,7 @@
         }
 
         long catalogVersion() {
-            return deployment.catalogText().map(Deployment.CatalogText::version).orElse(0L);
+            return deployment.catalogText().map(DeploymentState.CatalogText::version).orElse(0L);
         }
 
         @Override
@@ -267,43 +273,43 @@
                     this,
                     other,
                     message,
-                    reply -> carry(other, this, reply, () -> answer.complete(reply)));
-            scheduler.at(nowMs() + timeoutMs, () -> answer.completeExceptionally(silent()));
+                    reply -> transmit(other, this, reply, () -> answer.complete(reply)));
+            scheduler.at(nowMs() + timeoutMs, () -> answer.completeExceptionally(timeout()));
             return answer;
         }
 
-        private void take(RouterId from, PeerMessage message, Consumer<PeerMessage> back) {
-            Reply reply = new PlayedReply(back);
-            if (message instanceof Pulse pulse) {
-                sharing.pulse(from, pulse, reply);
-            } else if (message instanceof ServerNews news) {
-                sharing.words(from, news);
-            } else if (message instanceof ServersAsk ask) {
-                sharing.answer(ask, reply);
+        private void receive(RouterId from, PeerMessage message, Consumer<PeerMessage> back) {
+            Reply reply = new FakeReply(back);
+            if (message instanceof StoreStatus pulse) {
+                sharing.handleStatus(from, pulse, reply);
+            } else if (message instanceof ServerUpdates news) {
+                sharing.handleUpdates(from, news);
+            } else if (message instanceof ServersRequest ask) {
+                sharing.handleRequest(ask, reply);
             } else if (message instanceof CatalogRequest ask) {
-                catalogs.offer(ask, reply);
+                catalogs.handleRequest(ask, reply);
             }
         }
     }
 
-    private static MasticweirException silent() {
+    private static MasticweirException timeout() {
         return MasticweirException.notRun(ErrorCode.DEADLINE_EXCEEDED, "no reply");
     }
 
     private void deliver(Router from, Router to, PeerMessage message, Consumer<PeerMessage> back) {
         messages++;
-        carry(from, to, message, () -> to.take(from.at.id(), message, back));
+        transmit(from, to, message, () -> to.receive(from.at.id(), message, back));
     }
 
-    private void carry(Router from, Router to, PeerMessage message, Runnable step) {
+    private void transmit(Router from, Router to, PeerMessage message, Runnable step) {
         long bytes = MessageSize.bytesOf(message);
-        if (cut.test(from.at.id(), to.at.id()) || bytes > MAX_FRAME_BYTES) {
+        if (isCut.test(from.at.id(), to.at.id()) || bytes > MAX_FRAME_BYTES) {
             return;
         }
-        from.uplink.send(to.at.id(), bytes, () -> arrive(to, step));
+        from.uplink.send(to.at.id(), bytes, () -> arriveLater(to, step));
     }
 
-    private void arrive(Router to, Runnable step) {
+    private void arriveLater(Router to, Runnable step) {
         scheduler.at(
                 nowMs() + LINK_MS,
                 () -> {
@@ -314,7 +320,7 @@
     }
 
     /** Hands an answer back. */
-    private record PlayedReply(Consumer<PeerMessage> back) implements Reply {
+    private record FakeReply(Consumer<PeerMessage> back) implements Reply {
         @Override
         public boolean send(PeerMessage message) {
             back.accept(message);
--- a/masticweir/src/test/java/org/masticweir/relay/StoreFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/SimulatedFleetTest.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.masticweir.id.RouterId;
-import org.masticweir.relay.StoreFleet.Router;
-import org.masticweir.relay.StoreFleet.StoreFault;
+import org.masticweir.relay.SimulatedFleet.Router;
+import org.masticweir.relay.SimulatedFleet.StoreFault;
 
 /**
  * 95 routers in six domains follow one store, and keep its bounds while readers fail.
  *
  * <p>The bound of a change is two seconds from the store's word, the shortest that deployments ask.
  */
-class StoreFleetTest {
+class SimulatedFleetTest {
     private static final int ROUTERS = 95;
     private static final int DOMAINS = 6;
     private static final long BOUND_MS = 2_000;
@@ -26,9 +26,9 @@
     /** Long enough for pulses to have settled who reads. */
     private static final long SETTLED_MS = 6_000;
 
-    private static final long QUIET_MS = 6_000;
+    private static final long MEASURED_MS = 6_000;
 
-    private final StoreFleet fleet = new StoreFleet(ROUTERS, DOMAINS);
+    private final SimulatedFleet fleet = new SimulatedFleet(ROUTERS, DOMAINS);
 
     private List<Router> all() {
         return List.copyOf(fleet.routers.values());
@@ -47,16 +47,16 @@
     }
 
     /** Server e1 moves; its new address must be believed everywhere in time. */
-    private void assertAMoveIsSeen(List<Router> by) {
+    private void assertMoveReachesAll(List<Router> routers) {
         fleet.store.put("e1", "82");
-        assertInTime(fleet.untilAllSee(by, "82", BOUND_MS));
+        assertInTime(fleet.timeUntilAllSee(routers, "82", BOUND_MS));
     }
 
     /** Calls to the store grew with routers times changes, and with them the price of each. */
     @Nested
-    class Settled {
+    class SettledFleet {
         @Test
-        void twoRoutersOfADomainRead() {
+        void twoRoutersOfEachDomainRead() {
             fleet.runFor(SETTLED_MS);
             for (int i = 0; i < DOMAINS; i++) {
                 assertEquals(2, readers("d" + i));
@@ -64,7 +64,7 @@
         }
 
         @Test
-        void aSecondOfChangesCostsCallsOfTheReadersOnly() {
+        void onlyReadersCallTheStoreForChanges() {
             fleet.runFor(SETTLED_MS);
             long before = fleet.store.calls;
             for (int i = 0; i < 10; i++) {
@@ -78,7 +78,7 @@
         @Test
         void aChangeIsInForceEverywhereSoon() {
             fleet.runFor(SETTLED_MS);
-            assertAMoveIsSeen(all());
+            assertMoveReachesAll(all());
             fleet.store.catalog(2);
             fleet.runFor(500);
             assertTrue(all().stream().allMatch(r -> r.catalogVersion() == 2));
@@ -90,13 +90,13 @@
          */
         @ParameterizedTest
         @CsvSource({"8, 4, 20", "61, 4, 50", "95, 6, 60", "390, 9, 180"})
-        void messagesOfAQuietSecondStayInBounds(int routers, int domains, long most) {
-            StoreFleet sized = new StoreFleet(routers, domains);
+        void messageRateWithoutChangesIsBounded(int routers, int domains, long most) {
+            SimulatedFleet sized = new SimulatedFleet(routers, domains);
             sized.runFor(SETTLED_MS);
             long messages = sized.messages;
             long calls = sized.store.calls;
-            sized.runFor(QUIET_MS);
-            double seconds = QUIET_MS / 1_000.0;
+            sized.runFor(MEASURED_MS);
+            double seconds = MEASURED_MS / 1_000.0;
             double aRouter = (sized.messages - messages) / seconds / routers;
             double all = (sized.store.calls - calls) / seconds;
             System.out.printf(
@@ -113,24 +113,24 @@
      * failed just before the change, and the others rely on them.
      */
     @Nested
-    class ReadersThatFail {
+    class FailingReaders {
         private List<Router> ranked() {
             fleet.runFor(SETTLED_MS);
-            return fleet.ranked("d0");
+            return fleet.byRank("d0");
         }
 
         @Test
         void bothLosePower() {
-            ranked().subList(0, 2).forEach(Router::losePower);
-            assertAMoveIsSeen(running());
+            ranked().subList(0, 2).forEach(Router::stopSilently);
+            assertMoveReachesAll(running());
         }
 
         @Test
         void bothLosePowerWhileTheOtherDomainsAreCutOff() {
             List<Router> home = ranked();
-            fleet.cut = (from, to) -> isOf(home, from) != isOf(home, to);
-            home.subList(0, 2).forEach(Router::losePower);
-            assertAMoveIsSeen(running());
+            fleet.isCut = (from, to) -> isOf(home, from) != isOf(home, to);
+            home.subList(0, 2).forEach(Router::stopSilently);
+            assertMoveReachesAll(running());
         }
 
         private boolean isOf(List<Router> some, RouterId id) {
@@ -139,32 +139,32 @@
 
         @Test
         void theFirstFourLosePower() {
-            ranked().subList(0, 4).forEach(Router::losePower);
-            assertAMoveIsSeen(running());
+            ranked().subList(0, 4).forEach(Router::stopSilently);
+            assertMoveReachesAll(running());
         }
 
         @Test
         void bothAreKilled() {
-            ranked().subList(0, 2).forEach(Router::kill);
-            assertAMoveIsSeen(running());
+            ranked().subList(0, 2).forEach(Router::stopAndCloseLinks);
+            assertMoveReachesAll(running());
         }
 
         @Test
-        void bothHearNothingOfTheStore() {
+        void bothReceiveNoAnswerFromTheStore() {
             ranked().subList(0, 2).forEach(r -> r.fault = StoreFault.SILENT);
-            assertAMoveIsSeen(all());
+            assertMoveReachesAll(all());
         }
 
         @Test
-        void bothAreTurnedAwayByTheStore() {
+        void bothAreRefusedByTheStore() {
             ranked().subList(0, 2).forEach(r -> r.fault = StoreFault.REFUSED);
-            assertAMoveIsSeen(all());
+            assertMoveReachesAll(all());
         }
 
         @Test
-        void theWholeDomainIsTurnedAwayAndHearsItFromTheOthers() {
+        void wholeDomainIsRefusedAndReceivesChangesFromOthers() {
             ranked().forEach(r -> r.fault = StoreFault.REFUSED);
-            assertAMoveIsSeen(all());
+            assertMoveReachesAll(all());
             fleet.store.catalog(2);
             fleet.runFor(BOUND_MS);
             assertTrue(all().stream().allMatch(r -> r.catalogVersion() == 2));
@@ -173,34 +173,34 @@
         @Test
         void bothAreCutOffFromTheirDomainButNotFromTheStore() {
             List<Router> cutOff = ranked().subList(0, 2);
-            fleet.cut = (from, to) -> isOf(cutOff, from);
-            assertAMoveIsSeen(all());
+            fleet.isCut = (from, to) -> isOf(cutOff, from);
+            assertMoveReachesAll(all());
         }
 
         @Test
-        void oneThatWakesDoesNotTakeTheOthersBack() {
+        void resumedReaderDoesNotRevertTheOthers() {
             Router first = ranked().get(0);
-            first.losePower();
+            first.stopSilently();
             fleet.store.put("e1", "82");
             fleet.runFor(BOUND_MS);
             first.running = true;
             fleet.store.put("e1", "83");
-            assertInTime(fleet.untilAllSee(running(), "83", BOUND_MS));
+            assertInTime(fleet.timeUntilAllSee(running(), "83", BOUND_MS));
             fleet.runFor(SETTLED_MS);
-            assertTrue(all().stream().allMatch(r -> r.sees().equals("83")));
+            assertTrue(all().stream().allMatch(r -> r.seenPort().equals("83")));
             assertEquals(2, readers("d0"));
         }
     }
 
     /** The store answers late; calls that found no change ended by their time limit as lost. */
     @Nested
-    class StoreThatAnswersLate {
+    class SlowStore {
         private static final long SLOW_FOR_MS = 30_000;
 
         @ParameterizedTest
         @ValueSource(longs = {100, 1_330, 3_000})
-        void isReadByAsFewAndBelieved(long answerMs) {
-            becomesLate(answerMs);
+        void isReadByNoMoreRoutersAndTheCatalogStaysFresh(long answerMs) {
+            slowDown(answerMs);
             long before = fleet.store.calls;
             fleet.runFor(SLOW_FOR_MS);
             double calls = (fleet.store.calls - before) * 1_000.0 / SLOW_FOR_MS;
@@ -211,29 +211,29 @@
 
         @ParameterizedTest
         @ValueSource(longs = {100, 1_330, 3_000})
-        void holdsUpNoChangeBeyondItsAnswer(long answerMs) {
-            becomesLate(answerMs);
+        void delaysChangesOnlyByItsLatency(long answerMs) {
+            slowDown(answerMs);
             fleet.store.catalog(2);
-            assertEquals(ROUTERS, fleet.holdersAfter(2, answerMs + BOUND_MS), "hold it");
+            assertEquals(ROUTERS, fleet.countHoldersAfter(2, answerMs + BOUND_MS), "hold it");
         }
 
-        private void becomesLate(long answerMs) {
+        private void slowDown(long answerMs) {
             fleet.runFor(SETTLED_MS);
-            fleet.store.answerMs = answerMs;
+            fleet.store.latencyMs = answerMs;
             fleet.runFor(SLOW_FOR_MS);
         }
     }
 
     /** A router that is alone has only itself to rely on. */
     @Nested
-    class Alone {
+    class IsolatedRouter {
         @Test
-        void readsForItselfInTime() {
+        void readsTheStoreInTime() {
             fleet.runFor(SETTLED_MS);
-            List<Router> ranked = fleet.ranked("d0");
+            List<Router> ranked = fleet.byRank("d0");
             Router last = ranked.get(ranked.size() - 1);
-            fleet.cut = (from, to) -> to.equals(last.at.id()) || from.equals(last.at.id());
-            assertAMoveIsSeen(all());
+            fleet.isCut = (from, to) -> to.equals(last.at.id()) || from.equals(last.at.id());
+            assertMoveReachesAll(all());
         }
     }
 
@@ -241,59 +241,60 @@
      * Words between routers are lost, and a server that has left would be sent requests for good.
      */
     @Nested
-    class LostWords {
+    class LostMessages {
         @Test
-        void areAskedForWhenTheNextOneComes() {
+        void areRequestedAfterTheNextMessage() {
             fleet.runFor(SETTLED_MS);
-            fleet.cut = (from, to) -> true;
+            fleet.isCut = (from, to) -> true;
             fleet.store.remove("e1");
             fleet.runFor(300);
-            fleet.cut = (from, to) -> false;
+            fleet.isCut = (from, to) -> false;
             fleet.store.put("e2", "84");
             fleet.runFor(BOUND_MS);
-            assertTrue(all().stream().allMatch(r -> r.sees().isEmpty()));
+            assertTrue(all().stream().allMatch(r -> r.seenPort().isEmpty()));
         }
 
         @Test
-        void historyThatIsGoneIsReadWholeByTheReadersAndToldToTheRest() {
+        void fullReadingReplacesDiscardedHistory() {
             fleet.runFor(SETTLED_MS);
-            fleet.cut = (from, to) -> true;
+            fleet.isCut = (from, to) -> true;
             fleet.store.remove("e1");
-            fleet.store.forgetHistory();
+            fleet.store.discardHistory();
             fleet.runFor(100);
-            fleet.cut = (from, to) -> false;
+            fleet.isCut = (from, to) -> false;
             fleet.runFor(2 * BOUND_MS);
-            assertTrue(all().stream().allMatch(r -> r.sees().isEmpty()));
+            assertTrue(all().stream().allMatch(r -> r.seenPort().isEmpty()));
         }
     }
 
     /** Entries that lapse while the store is away come back; their servers must not be left. */
     @Nested
-    class StoreThatWasAway {
+    class UnavailableStore {
         @Test
-        void removalsAreDoubtedByAllAlike() {
+        void removalsAreDelayedAtAllRouters() {
             fleet.runFor(SETTLED_MS);
             all().forEach(r -> r.fault = StoreFault.REFUSED);
             fleet.runFor(4_000);
             fleet.store.remove("e1");
             all().forEach(r -> r.fault = StoreFault.NONE);
             fleet.runFor(1_500);
-            assertTrue(all().stream().allMatch(r -> r.sees().equals("81")), "left too soon");
+            assertTrue(all().stream().allMatch(r -> r.seenPort().equals("81")), "left too soon");
             fleet.store.put("e1", "81");
             fleet.runFor(4_000);
             assertTrue(
-                    all().stream().allMatch(r -> r.sees().equals("81")), "lost after its return");
+                    all().stream().allMatch(r -> r.seenPort().equals("81")),
+                    "lost after its return");
         }
 
         @Test
-        void oneThatStaysAwayIsGoneEverywhere() {
+        void serverThatDoesNotReturnIsRemovedEverywhere() {
             fleet.runFor(SETTLED_MS);
             all().forEach(r -> r.fault = StoreFault.REFUSED);
             fleet.runFor(4_000);
             fleet.store.remove("e1");
             all().forEach(r -> r.fault = StoreFault.NONE);
             fleet.runFor(6_000);
-            assertTrue(all().stream().allMatch(r -> r.sees().isEmpty()));
+            assertTrue(all().stream().allMatch(r -> r.seenPort().isEmpty()));
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/relay/Uplink.java
+++ b/masticweir/src/test/java/org/masticweir/relay/SimulatedUplink.java
@@ -13,7 +13,7 @@
  * <p>Connections that share a link slow each other down, so that many long messages sent at one
  * moment all come late.
  */
-final class Uplink {
+final class SimulatedUplink {
     private static final int CHUNK_BYTES = 16 << 10;
 
     private final ManualScheduler scheduler;
@@ -23,7 +23,7 @@
     private boolean sending;
     private long sentBytes;
 
-    Uplink(ManualScheduler scheduler, double bytesPerMs) {
+    SimulatedUplink(ManualScheduler scheduler, double bytesPerMs) {
         this.scheduler = scheduler;
         this.bytesPerMs = bytesPerMs;
     }
@@ -36,10 +36,10 @@
     /** A message on its way. */
     private static final class Transfer {
         private final Runnable arrival;
-        private long left;
+        private long remainingBytes;
 
         Transfer(long bytes, Runnable arrival) {
-            this.left = bytes;
+            this.remainingBytes = bytes;
             this.arrival = arrival;
         }
     }
@@ -59,10 +59,10 @@
         RouterId peer = queues.keySet().iterator().next();
         Queue<Transfer> queue = queues.remove(peer);
         Transfer first = queue.peek();
-        long chunk = Math.min(first.left, CHUNK_BYTES);
-        first.left -= chunk;
+        long chunk = Math.min(first.remainingBytes, CHUNK_BYTES);
+        first.remainingBytes -= chunk;
         freeAtMs += chunk / bytesPerMs;
-        if (first.left == 0) {
+        if (first.remainingBytes == 0) {
             queue.remove();
         }
         if (!queue.isEmpty()) {
@@ -72,7 +72,7 @@
     }
 
     private void sent(Transfer transfer) {
-        if (transfer.left == 0) {
+        if (transfer.remainingBytes == 0) {
             transfer.arrival.run();
         }
         sending = !queues.isEmpty();
--- a/masticweir/src/test/java/org/masticweir/relay/ThreadDelaysTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ThreadDelaysTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void isNoneWhileBothKeepUp() {
+    void delayIsZeroWithoutStalls() {
         control.runTo(600);
         traffic.remove().run();
         control.runTo(1_200);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void isThatOfATrafficThreadThatStalls() {
+    void measuresAStalledTrafficThread() {
         control.runTo(500);
         control.clock().advanceMs(120);
         traffic.remove().run();
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void isThatOfAControlThreadThatStalls() {
+    void measuresAStalledControlThread() {
         control.at(499, () -> control.clock().advanceMs(300));
         control.runTo(1_000);
         traffic.remove().run();
