--- a/masticweir/src/main/java/org/masticweir/relay/AwaitedCatalog.java
+++ b/masticweir/src/main/java/org/masticweir/relay/AwaitedCatalog.java
@@ -1,15 +1,15 @@
 package org.masticweir.relay;
 
 /**
- * The newest version of the catalog that peers have named and this router does not hold; not
- * thread-safe, reads no clock.
+ * The newest version of the catalog that peers have reported and this router has not received yet;
+ * not thread-safe, reads no clock.
  */
 final class AwaitedCatalog {
     private long version;
     private long firstReportMs;
     private long lastReportMs;
 
-    /** Takes note that a peer holds {@code newer}. */
+    /** Records that a peer holds {@code newer}. */
     void recordReport(long newer, long nowMs) {
         if (newer > version) {
             version = newer;
@@ -20,18 +20,21 @@
         }
     }
 
-    /** Returns the newest version heard of; 0 if none. */
+    /** Returns the newest version reported by a peer; 0 if none. */
     long version() {
         return version;
     }
 
-    /** Returns for how long a version newer than {@code held} has been awaited, in ms, or 0. */
+    /**
+     * Returns the time since a version newer than {@code held} was first reported, in ms; 0 if none
+     * was.
+     */
     long waitedMs(long held, long nowMs) {
         return version > held ? nowMs - firstReportMs : 0;
     }
 
     /**
-     * Returns whether peers have named a version newer than {@code held} in the last {@code ms}.
+     * Returns whether a version newer than {@code held} was reported within the last {@code ms}.
      */
     boolean isAwaited(long held, long nowMs, long windowMs) {
         return version > held && nowMs - lastReportMs <= windowMs;
--- a/masticweir/src/main/java/org/masticweir/relay/CatalogReplies.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CatalogReplies.java
@@ -10,11 +10,12 @@
 import org.masticweir.relay.RelayMessages.CatalogRequest;
 
 /**
- * The catalogs that came in force here of late, as other routers are given them; not thread-safe.
+ * Builds replies to catalog requests from the catalogs most recently in force; not thread-safe.
  *
- * <p>Load that it answers: all routers of a domain ask the few that read the store at one moment,
- * over thin links. Who holds one of the last versions gets what has changed, anybody else the whole
- * as an edit of no text; either is packed once for all.
+ * <p>Reduces load: all routers of a domain request a new catalog at the same moment from the few
+ * routers that read the store, over links of limited bandwidth. A router that holds one of the
+ * recent versions receives the difference; any other receives the full text as an edit of the empty
+ * text. Each edit is compressed once and reused for all requests.
  */
 final class CatalogReplies {
     private static final long NO_VERSION = 0;
@@ -23,7 +24,7 @@
     private final Map<Long, PackedEdit> packedEdits = new HashMap<>();
     private Optional<CatalogText> latest = Optional.empty();
 
-    /** Takes the catalog in force; one that is known already changes nothing. */
+    /** Adds the catalog in force; does nothing unless it is newer than the latest. */
     void add(CatalogText text) {
         if (latest.filter(l -> l.version() >= text.version()).isPresent()) {
             return;
@@ -33,7 +34,7 @@
         packedEdits.clear();
     }
 
-    /** Returns what a peer is given. */
+    /** Returns the reply to a request. */
     CatalogReply replyTo(CatalogRequest request) {
         Optional<CatalogText> newer = latest.filter(l -> l.version() > request.newerThan());
         if (newer.isEmpty()) {
--- a/masticweir/src/main/java/org/masticweir/relay/CatalogSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CatalogSharing.java
@@ -20,14 +20,17 @@
 import org.masticweir.relay.RelayMessages.CatalogRequest;
 import org.masticweir.time.Clock;
 
-/** How routers give each other newer catalogs; owned by the control thread. */
+/**
+ * Requests newer catalogs from peers and answers the requests of peers; owned by the control
+ * thread.
+ */
 final class CatalogSharing {
     private static final Logger LOG = LogManager.getLogger(CatalogSharing.class);
 
-    /** What a router names that wants the whole. */
+    /** Version in a request for the full text. */
     private static final long NO_VERSION = 0;
 
-    /** Wait for a version that peers hold after which a line says so, in ms. */
+    /** Time for which a reported version may be missing before a warning is logged, in ms. */
     private static final long LATE_AFTER_MS = 2_000;
 
     private static final long WINDOW_MS = 60_000;
@@ -42,7 +45,10 @@
     private Consumer<RouterId> onNewerVersion = peer -> {};
     private boolean needsFullText;
 
-    /** Newest version whose text came and did not become the one in force; it isn't asked for. */
+    /**
+     * Newest version whose text was received and could not be put in force; it is not requested
+     * again.
+     */
     private long rejectedVersion;
 
     private long loggedLateVersion;
@@ -64,17 +70,22 @@
                         () -> new Histogram(WindowedReservoir.of(clock, WINDOW_MS)));
     }
 
-    /** Sets what hears of each newer version that a peer has given. */
+    /**
+     * Sets the listener that is called with the sender of each newer version received from a peer.
+     */
     void onNewerVersion(Consumer<RouterId> listener) {
         onNewerVersion = checkNotNull(listener, "listener");
     }
 
-    /** Keeps the catalog that has come in force, for peers that ask. */
+    /** Stores the catalog that has come into force, to answer requests of peers. */
     void recordCatalog() {
         deployment.catalogText().ifPresent(texts::add);
     }
 
-    /** Asks a peer for the version that it has said it holds, if that is newer. */
+    /**
+     * Requests a version that {@code peer} has reported to hold, if it is newer than the one in
+     * force.
+     */
     void handleVersion(RouterId peer, long version) {
         deployment.recordVersion(version);
         if (version > Math.max(deployment.catalogVersion(), rejectedVersion)) {
@@ -111,9 +122,10 @@
     }
 
     /**
-     * Returns the catalog that a peer gives; empty if it has no newer one, or none that fits.
+     * Returns the catalog in a reply; empty if the peer has no newer one, or its edit does not
+     * apply.
      *
-     * @param base the text that was held when the peer was asked
+     * @param base the text in force when the request was sent
      */
     private Optional<String> textOf(RouterId peer, String base, CatalogReply reply) {
         if (reply.edit().isEmpty()) {
@@ -136,7 +148,7 @@
         return deployment.catalogText().map(DeploymentState.CatalogText::text).orElse("");
     }
 
-    /** Says once of each version that it is late. */
+    /** Logs a warning once for each version that is late. */
     void tick() {
         long version = deployment.awaitedVersion();
         if (deployment.catalogAwaitedMs() < LATE_AFTER_MS || version == loggedLateVersion) {
@@ -151,7 +163,7 @@
                 unanswered.getCount());
     }
 
-    /** Gives a peer the catalog if it is newer than the peer's. */
+    /** Replies with the catalog if it is newer than the version that the peer holds. */
     void handleRequest(CatalogRequest request, Reply reply) {
         CatalogReply catalog = texts.replyTo(request);
         repliesSent.inc();
--- a/masticweir/src/main/java/org/masticweir/relay/ControlExecutor.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ControlExecutor.java
@@ -9,41 +9,40 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The one thread that owns what a router believes.
+ * The single thread that owns the state of a router.
  *
- * <p>Failure guarded against: a step fails on something that nobody thought of, and the executor
- * keeps the error for a result that nobody asks for, and never runs a periodic step again. The
- * router goes on with what it last knew and no line says so. Here each error is logged, and
- * periodic steps go on.
+ * <p>Prevents silent failures: the standard executor stores an unexpected error in a future that
+ * nobody reads, and cancels a periodic task after an error. The router would go on with outdated
+ * state and log nothing. This executor logs each error and keeps running periodic tasks.
  */
 final class ControlExecutor extends ScheduledThreadPoolExecutor {
     private static final Logger LOG = LogManager.getLogger(ControlExecutor.class);
 
     ControlExecutor() {
-        super(1, step -> new Thread(step, "control"));
+        super(1, task -> new Thread(task, "control"));
     }
 
     @Override
     public ScheduledFuture<?> scheduleWithFixedDelay(
-            Runnable step, long initialDelay, long delay, TimeUnit unit) {
-        return super.scheduleWithFixedDelay(() -> run(step), initialDelay, delay, unit);
+            Runnable task, long initialDelay, long delay, TimeUnit unit) {
+        return super.scheduleWithFixedDelay(() -> run(task), initialDelay, delay, unit);
     }
 
     @Override
-    protected void afterExecute(Runnable step, Throwable error) {
-        super.afterExecute(step, error);
+    protected void afterExecute(Runnable task, Throwable error) {
+        super.afterExecute(task, error);
         if (error != null) {
-            LOG.error("router: a step of the control thread failed", error);
-        } else if (step instanceof Future<?> future && future.isDone() && !future.isCancelled()) {
+            LOG.error("router: a task on the control thread failed", error);
+        } else if (task instanceof Future<?> future && future.isDone() && !future.isCancelled()) {
             logFailure(future);
         }
     }
 
-    private static void run(Runnable step) {
+    private static void run(Runnable task) {
         try {
-            step.run();
+            task.run();
         } catch (RuntimeException e) {
-            LOG.error("router: a periodic step of the control thread failed", e);
+            LOG.error("router: a periodic task on the control thread failed", e);
         }
     }
 
@@ -51,7 +50,7 @@
         try {
             done.get();
         } catch (ExecutionException e) {
-            LOG.error("router: a step of the control thread failed", e.getCause());
+            LOG.error("router: a task on the control thread failed", e.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/masticweir/src/main/java/org/masticweir/relay/DeploymentFormat.java
+++ b/masticweir/src/main/java/org/masticweir/relay/DeploymentFormat.java
@@ -5,7 +5,7 @@
 import org.masticweir.id.EngineId;
 import org.masticweir.store.RowKey;
 
-/** How one platform writes a deployment into its store; stateless and thread-safe. */
+/** Format of a platform's deployment in its store; stateless and thread-safe. */
 public interface DeploymentFormat {
     /** Returns the row that holds the catalog. */
     RowKey catalogRow();
@@ -14,16 +14,16 @@
     String serverTable();
 
     /**
-     * Reads the catalog's row.
+     * Parses the catalog's row.
      *
      * @throws IllegalArgumentException if it is malformed
      */
     Catalog catalog(String text);
 
     /**
-     * Reads a backend server's row.
+     * Parses a backend server's row.
      *
-     * @throws IllegalArgumentException if it names no server to use
+     * @throws IllegalArgumentException if it does not describe a valid server
      */
     BackendServer server(EngineId id, String text);
 }
--- a/masticweir/src/main/java/org/masticweir/relay/DeploymentState.java
+++ b/masticweir/src/main/java/org/masticweir/relay/DeploymentState.java
@@ -22,23 +22,23 @@
 import org.masticweir.time.Clock;
 
 /**
- * What this router believes of its deployment, from the store and from peers; owned by the control
- * thread.
+ * This router's view of its deployment, from the store and from peers; owned by the control thread.
  *
- * <p>The newest version of the catalog and the newest word on each server win, whoever brings them;
- * nothing ever goes back to an older one.
+ * <p>The newest version of the catalog and the newest update of each server apply, whichever source
+ * they come from. An older version or update never replaces a newer one.
  */
 final class DeploymentState {
     private static final Logger LOG = LogManager.getLogger(DeploymentState.class);
 
     /**
-     * Age of the last word on the catalog up to which a router denies what it does not know, in ms:
-     * longer than the store's waits and shorter than the time a change may take on a router that is
-     * cut off.
+     * Longest time since the last confirmation of the catalog for which it counts as fresh, in ms;
+     * a router rejects requests for unknown names only while its catalog is fresh. Longer than the
+     * store's long polls, and shorter than the time that a change may take to reach a router
+     * without a connection to the store.
      */
     static final long FRESH_MS = 6_000;
 
-    private final DeploymentFormat form;
+    private final DeploymentFormat format;
     private final Clock clock;
     private final UnreadableRows unreadableRows;
     private final ServerBook book = ServerBook.create();
@@ -52,33 +52,33 @@
     private boolean wasFresh;
 
     /**
-     * What words of a peer were here.
+     * Result of applying updates from a peer.
      *
-     * @param isComplete whether no word before them is missing
-     * @param hasChanges whether they changed what is believed
+     * @param isComplete whether no earlier update is missing
+     * @param hasChanges whether the view of the deployment changed
      */
     record UpdateResult(boolean isComplete, boolean hasChanges) {}
 
-    /** The catalog as it stands in the store. */
+    /** The text of a catalog as stored, with its version. */
     record CatalogText(long version, String text) {}
 
     DeploymentState(
-            DeploymentFormat form,
+            DeploymentFormat format,
             Clock clock,
             UnreadableRows unreadable,
             Consumer<RelayView> publish) {
-        this.form = checkNotNull(form, "form");
+        this.format = checkNotNull(format, "format");
         this.clock = checkNotNull(clock, "clock");
         this.unreadableRows = checkNotNull(unreadable, "unreadable");
         this.publish = checkNotNull(publish, "publish");
     }
 
-    /** Takes rows of the catalog's table; returns whether a newer version came. */
+    /** Applies rows of the catalog's table; returns whether a newer version came into force. */
     boolean applyCatalogRows(FeedOutcome.Rows rows) {
         recordConfirmation();
         boolean newer = false;
         for (FeedOutcome.Change change : rows.changes()) {
-            if (change.key().equals(form.catalogRow()) && !change.removed()) {
+            if (change.key().equals(format.catalogRow()) && !change.removed()) {
                 newer |= catalogText(change.value().orElse(""), "store");
             }
         }
@@ -87,14 +87,14 @@
     }
 
     /**
-     * Takes the catalog's text; returns whether it is newer than what was known.
+     * Applies the text of a catalog; returns whether it is newer than the version in force.
      *
-     * @param source who brought it, for the log
+     * @param source sender of the text, for the log
      */
     boolean catalogText(String text, String source) {
         Catalog parsed;
         try {
-            parsed = form.catalog(text);
+            parsed = format.catalog(text);
         } catch (IllegalArgumentException e) {
             LOG.error("config: a version from {} is not understood, {}", source, e.getMessage());
             return false;
@@ -115,18 +115,21 @@
         return true;
     }
 
-    /** Takes note that a peer holds {@code version} of the catalog. */
+    /** Records that a peer holds {@code version} of the catalog. */
     void recordVersion(long version) {
         awaited.recordReport(version, clock.nowMs());
         publishIfFreshnessChanged();
     }
 
-    /** Returns for how long a version that peers hold has been awaited, in ms; 0 if none is. */
+    /**
+     * Returns the time since a newer version was first reported by a peer, in ms; 0 if none is
+     * awaited.
+     */
     long catalogAwaitedMs() {
         return awaited.waitedMs(catalogVersion(), clock.nowMs());
     }
 
-    /** Returns the newest version of the catalog that peers have named; 0 if none. */
+    /** Returns the newest version of the catalog reported by peers; 0 if none. */
     long awaitedVersion() {
         return awaited.version();
     }
@@ -136,15 +139,17 @@
         return catalog.map(Catalog::version).orElse(0L);
     }
 
-    /** Someone who hears the store has no newer catalog. */
+    /** Records that the store, or a peer that receives its answers, has no newer catalog. */
     void recordConfirmation() {
         lastConfirmedMs = clock.nowMs();
     }
 
     /**
-     * Takes rows of the servers' table; returns what peers are told, if anything was news.
+     * Applies rows of the servers' table; returns the updates to send to peers, if anything
+     * changed.
      *
-     * @param since the revision after which these are all changes; empty if they are all rows
+     * @param since the revision after which the rows are all changes; empty if they are a full
+     *     reading of the table
      */
     Optional<ServerUpdates> applyServerRows(
             FeedOutcome.Rows rows, OptionalLong since, long removalDueMs) {
@@ -169,7 +174,7 @@
                 listed.add(id.get());
                 put(server.get(), change.revision(), updates);
             } else {
-                // What the row said before is replaced. A server that lives writes it again soon.
+                // The row replaces the earlier entry. A running server soon writes its entry again.
                 remove(id.get(), change.revision(), now, updates);
             }
         }
@@ -188,7 +193,7 @@
                 : Optional.of(updatesAfter(before));
     }
 
-    /** Takes words of a peer; returns what they were here. */
+    /** Applies updates from a peer. */
     UpdateResult applyPeerUpdates(ServerUpdates message, String peer) {
         List<ServerUpdate> updates = new ArrayList<>();
         long dueMs = clock.nowMs() + message.removalDelayMs();
@@ -217,24 +222,27 @@
     }
 
     /**
-     * Takes note that a peer knows no word after {@code newest} up to {@code completeTo}; returns
-     * whether none up to there is missing here.
+     * Records that a peer has received no update after {@code newest} up to {@code completeTo};
+     * returns whether this router has all updates up to there.
      */
     boolean recordPeerProgress(long newest, long completeTo) {
         return progress.recordUpdates(newest, completeTo, UpdateProgress.START);
     }
 
-    /** Returns the revision of the newest word on a server. */
+    /** Returns the revision of the newest server update. */
     long newestUpdate() {
         return progress.newest();
     }
 
-    /** Returns the revision up to which all words on servers are known. */
+    /** Returns the revision up to which all server updates have been received. */
     long completeTo() {
         return progress.completeTo();
     }
 
-    /** Returns all words on servers after {@code revision}, or all servers there are. */
+    /**
+     * Returns all server updates after {@code revision}; all present servers if some of those
+     * updates are no longer stored.
+     */
     ServerUpdates updatesAfter(long revision) {
         long delayMs = Math.max(0, removalsPendingUntilMs - clock.nowMs());
         Optional<ImmutableList<ServerUpdate>> after =
@@ -251,7 +259,7 @@
                                         presentServers()));
     }
 
-    /** Returns what a peer lacks that knows all words up to what {@code ask} says. */
+    /** Returns the updates that the sender of {@code request} has not received. */
     ServerUpdates replyTo(ServersRequest request) {
         ServerUpdates after = updatesAfter(request.completeTo());
         if (after.isFullList() && request.digest() == book.digest()) {
@@ -264,7 +272,7 @@
         return after;
     }
 
-    /** Returns the question for words that are missing here. */
+    /** Returns a request for the updates that are missing here. */
     ServersRequest updatesRequest() {
         return new ServersRequest(progress.completeTo(), book.digest());
     }
@@ -275,10 +283,10 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Carries out what has become due. */
+    /** Applies removals that are due. */
     void tick() {
         if (book.tick(clock.nowMs())) {
-            LOG.info("instances: entries that lapsed did not come back, {} left", serverCount());
+            LOG.info("instances: pending removals applied, {} servers left", serverCount());
             publishView();
         }
         publishIfFreshnessChanged();
@@ -288,7 +296,10 @@
         return catalogText;
     }
 
-    /** Those whose removal is doubted are left out: who lacks them doubts the removal as well. */
+    /**
+     * Omits servers whose removal is pending: a receiver removes servers that are not in the list
+     * after the same delay.
+     */
     private List<ServerUpdate> presentServers() {
         List<ServerUpdate> all = new ArrayList<>();
         for (ServerBook.Word word : book.words()) {
@@ -297,7 +308,7 @@
         return all;
     }
 
-    /** Returns whether a router can serve: a catalog and servers are known. */
+    /** Returns whether a catalog and at least one server have been received. */
     boolean isReady() {
         return catalog.isPresent() && !book.servers().isEmpty();
     }
@@ -312,7 +323,10 @@
         }
     }
 
-    /** A removal that is not due yet is no news; peers that ask are told of it with its doubt. */
+    /**
+     * A removal that is not due yet is not sent as an update. Peers that request updates receive it
+     * with its delay.
+     */
     private void remove(EngineId id, long revision, long dueMs, List<ServerUpdate> updates) {
         if (book.remove(id, revision, clock.nowMs(), dueMs)) {
             updates.add(ServerUpdate.removed(id, revision));
@@ -329,21 +343,21 @@
     }
 
     /**
-     * Returns the server that a row names, if it names one to use.
+     * Returns the server that a row describes; empty if the row is invalid.
      *
-     * <p>Failure guarded against: another writer's row, with a field missing, of another type or
-     * beyond its range, takes requests to an address where no server is, or ends the following of
+     * <p>Prevents an invalid row from another writer (a missing field, a wrong type, a value out of
+     * range) from routing requests to an address without a server, or from ending the reading of
      * the table.
      */
     private Optional<BackendServer> parseServer(EngineId id, FeedOutcome.Change change) {
         try {
-            checkArgument(change.value().isPresent(), "it holds no text");
-            BackendServer server = form.server(id, change.value().get());
+            checkArgument(change.value().isPresent(), "the row has no text");
+            BackendServer server = format.server(id, change.value().get());
             boolean hadStartTime =
                     book.lifeOf(id).filter(ServerIncarnation::isStartKnown).isPresent();
             checkArgument(
                     server.incarnation().isStartKnown() || !hadStartTime,
-                    "no start time, though it had one before");
+                    "no start time, but an earlier entry had one");
             return Optional.of(server);
         } catch (IllegalArgumentException e) {
             unreadableRows.report(change.key(), change.revision(), e.getMessage());
@@ -362,7 +376,7 @@
         }
     }
 
-    /** Who knows of a newer catalog denies nothing by the one it has. */
+    /** The catalog is not fresh while a newer version is known: rejections could be wrong. */
     private boolean isCatalogFresh() {
         long now = clock.nowMs();
         return now - lastConfirmedMs <= FRESH_MS
--- a/masticweir/src/main/java/org/masticweir/relay/KnownRouters.java
+++ b/masticweir/src/main/java/org/masticweir/relay/KnownRouters.java
@@ -17,24 +17,26 @@
 import org.masticweir.relay.RelayMessages.RouterInfo;
 
 /**
- * The other routers by failure domain, and which of them hear what; owned by the control thread.
+ * The other routers, grouped by failure domain, and the recipients of each kind of message; owned
+ * by the control thread.
  *
- * <p>Load that it answers: words that go from each router to each grow with the square of the
- * fleet, and those between domains take thin links. A word on the store needs every router of the
- * own domain, and of each other domain only the relays, which tell the rest there.
+ * <p>Reduces load: the number of messages from each router to every other grows with the square of
+ * the fleet, and links between domains have limited bandwidth. Notifications of changes in the
+ * store go to all routers of the own domain, and to gateways of each other domain, which forward
+ * them within it.
  */
 final class KnownRouters {
-    /** Relays of a domain: with two of them, one may be lost at any moment. */
+    /** Gateways of a domain: with two of them, one may be lost at any moment. */
     private static final int GATEWAYS_PER_DOMAIN = 2;
 
-    /** Pulses after which each router of another domain has been asked for a sign of life. */
+    /** Rounds in which each remaining router of the other domains is polled once. */
     private static final int REMOTE_POLL_ROUNDS = 5;
 
     private final RouterInfo self;
     private final Map<RouterId, RouterInfo> routers = new HashMap<>();
     private Optional<Groups> groups = Optional.empty();
 
-    /** Who stands where, as of the routers known. */
+    /** The groups of the routers known now. */
     private record Groups(
             ImmutableSet<RouterId> ownDomain,
             ImmutableSet<RouterId> storeRecipients,
@@ -44,7 +46,7 @@
         this.self = checkNotNull(self, "self");
     }
 
-    /** Takes note of a router; returns whether it or its address is new. */
+    /** Adds a router; returns whether the router or its address is new. */
     boolean add(RouterInfo router) {
         if (router.id().equals(self.id()) || router.equals(routers.get(router.id()))) {
             return false;
@@ -64,12 +66,15 @@
         return groups().ownDomain();
     }
 
-    /** Returns those that hear words on the store: the own domain and the relays of the others. */
+    /**
+     * Returns the recipients of notifications of changes in the store: the own domain and the
+     * gateways of the other domains.
+     */
     ImmutableSet<RouterId> storeRecipients() {
         return groups().storeRecipients();
     }
 
-    /** Returns those that are asked for a sign of life in the pulse that {@code turn} counts. */
+    /** Returns the routers that are polled in round {@code round}. */
     ImmutableSet<RouterId> pollTargets(long round) {
         ImmutableSet.Builder<RouterId> targets = ImmutableSet.builder();
         targets.addAll(storeRecipients());
@@ -82,7 +87,7 @@
         return targets.build();
     }
 
-    /** Grouped when they are asked for: a start learns of the whole fleet, one by one. */
+    /** Computed on demand: at startup, a router learns of all others one by one. */
     private Groups groups() {
         if (groups.isEmpty()) {
             groups = Optional.of(group());
--- a/masticweir/src/main/java/org/masticweir/relay/LimitExchange.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LimitExchange.java
@@ -14,7 +14,10 @@
 import org.masticweir.permits.SharedLimits;
 import org.masticweir.permits.SharedPermits;
 
-/** What routers tell each other of servers' limits, and the permits that they ask for. */
+/**
+ * Connects the peer links with the shared limits of servers and the shared permits: passes messages
+ * and link events on.
+ */
 final class LimitExchange implements LinkListener {
     private final SharedLimits limits;
     private final SharedPermits permits;
@@ -22,9 +25,9 @@
     private final PeerLinks links;
 
     /**
-     * Creates an exchange that hears nothing before {@link #start}.
+     * Creates an exchange that receives nothing before {@link #start}.
      *
-     * @param traffic runs what concerns {@code limits}
+     * @param traffic runs all calls to {@code limits}
      */
     LimitExchange(SharedLimits limits, SharedPermits permits, Executor traffic, PeerLinks links) {
         this.limits = checkNotNull(limits, "limits");
@@ -43,7 +46,7 @@
         links.listen(this);
     }
 
-    /** There is a router, linked or not. */
+    /** Adds a router, whether a link to it is up or not. */
     void addRouter(RouterId router) {
         permits.addRouter(router);
     }
--- a/masticweir/src/main/java/org/masticweir/relay/LoadSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LoadSharing.java
@@ -23,14 +23,17 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Tells peers what this router has at engines and which servers failed, and takes their words; on
- * the traffic thread.
+ * Exchanges with peers the load on engines and the failures of servers; on the traffic thread.
  *
- * <p>Load that it answers: each router alone sees a part of the prompts in reading, and several
- * choose one engine at the same moment. Changes of a few milliseconds go out together.
+ * <p>Prevents overload of an engine: each router alone observes only some of the prompts in
+ * prefill, and several routers would choose the same engine at the same moment. Changes within a
+ * few milliseconds are sent together.
  */
 final class LoadSharing implements PeerExchange.LoadListener {
-    /** How long changes are gathered, in ms; small beside the time that a prompt is read. */
+    /**
+     * Time for which changes are collected before they are sent, in ms; short compared with the
+     * prefill of a prompt.
+     */
     private static final long BATCH_MS = 5;
 
     private final XnioIoThread thread;
@@ -43,9 +46,9 @@
     private boolean reportScheduled;
 
     /**
-     * Creates a sharing that tells nobody before something changes.
+     * Creates an instance that sends nothing until something changes.
      *
-     * @param servers finds a server that is listed
+     * @param servers returns a listed server
      * @param peers readable on the traffic thread
      * @param send may be called from the traffic thread
      */
@@ -66,7 +69,7 @@
         this.send = checkNotNull(send, "send");
     }
 
-    /** Something on the board has changed. */
+    /** Schedules a report after the load of an engine or the health of a server has changed. */
     void scheduleReport() {
         if (!reportScheduled) {
             reportScheduled = true;
--- a/masticweir/src/main/java/org/masticweir/relay/PackedEdit.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PackedEdit.java
@@ -19,7 +19,7 @@
 
 /** An edit of the catalog's text, compressed for the links between routers; immutable. */
 final class PackedEdit {
-    /** Longest edit that is unpacked, in bytes; a catalog has at most as many. */
+    /** Longest edit after decompression, in bytes; the same bound as for a catalog. */
     private static final int MAX_BYTES = RelayMessages.MAX_CATALOG_BYTES;
 
     private final byte[] bytes;
@@ -41,15 +41,15 @@
         return new PackedEdit(packed.toByteArray());
     }
 
-    /** Returns the edit that a peer has packed; it is read by {@link #unpack}. */
+    /** Returns an edit as received from a peer; {@link #unpack} parses it. */
     static PackedEdit ofBytes(byte[] bytes) {
         return new PackedEdit(checkNotNull(bytes, "bytes").clone());
     }
 
     /**
-     * Returns the edit.
+     * Decompresses and parses the edit.
      *
-     * @throws IllegalArgumentException if these bytes are none
+     * @throws IllegalArgumentException if the bytes are not a valid edit
      */
     DocumentEdit unpack() {
         try (InputStream in = new InflaterInputStream(new ByteArrayInputStream(bytes));
@@ -57,7 +57,7 @@
                         MessagePack.newDefaultUnpacker(ByteStreams.limit(in, MAX_BYTES))) {
             return DocumentEditCodec.decode(unpacker, MAX_BYTES);
         } catch (IOException | RuntimeException e) {
-            throw new IllegalArgumentException("no edit: " + e.getMessage(), e);
+            throw new IllegalArgumentException("invalid edit: " + e.getMessage(), e);
         }
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/PeerDirectory.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PeerDirectory.java
@@ -21,25 +21,27 @@
 import org.masticweir.store.TransactionOutcome;
 
 /**
- * How routers find each other: each writes its address into the store, then reads those there.
+ * Discovery of routers: each writes its address to the store, then reads the addresses of the
+ * others.
  *
- * <p>Two routers that start at one moment still meet: whichever reads last finds the other and
- * introduces itself. Started on the control thread; the list of routers is readable anywhere.
+ * <p>Two routers that start at the same moment still find each other: the one that reads last finds
+ * the other and sends it an introduction. Started on the control thread; the list of routers can be
+ * read on any thread.
  */
 final class PeerDirectory {
     private static final Logger LOG = LogManager.getLogger(PeerDirectory.class);
 
     private static final String TABLE = "routers";
 
-    /** Between the address and the domain in a row. */
+    /** Separates the address from the domain in a row. */
     private static final char SEPARATOR = ' ';
 
     private static final Splitter PARTS = Splitter.on(SEPARATOR);
 
-    /** Time for one call, in ms. */
+    /** Timeout of a call to the store, in ms. */
     private static final long CALL_TIMEOUT_MS = 1_000;
 
-    /** Pause before a failed call is made again, in ms. */
+    /** Delay before a failed call is retried, in ms. */
     private static final long RETRY_DELAY_MS = 500;
 
     private final PlatformPort.Store store;
@@ -53,7 +55,7 @@
         this.control = checkNotNull(control, "control");
     }
 
-    /** Writes this router's address, then gives those of the others to {@code found}. */
+    /** Writes this router's address, then passes the addresses of the others to {@code found}. */
     void join(Consumer<RouterInfo> found) {
         Transaction put =
                 Transaction.builder()
@@ -70,14 +72,14 @@
                         });
     }
 
-    /** Takes note of a router that there is. */
+    /** Adds a router. */
     void add(RouterId id) {
         if (!known.contains(id)) {
             known.add(id);
         }
     }
 
-    /** Returns the other routers that are known. */
+    /** Returns the other routers that have been found. */
     List<RouterId> known() {
         return known;
     }
--- a/masticweir/src/main/java/org/masticweir/relay/PeerExchange.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PeerExchange.java
@@ -30,19 +30,25 @@
 import org.masticweir.relay.RelayMessages.StoreStatus;
 
 /**
- * How routers come to know each other, and what they tell of servers' use; owned by the control
- * thread.
+ * Connects to the other routers, dispatches their messages and handles link events; owned by the
+ * control thread.
  *
- * <p>Load that it answers: all routers start at once, each opens a link to each other one, and
- * every caller comes back meanwhile. The own domain is met at once, the others one after the other.
+ * <p>Reduces load at startup: all routers start at the same time, each opens a link to every other,
+ * and all callers reconnect meanwhile. Routers of the own domain are connected at once, the others
+ * one after the other.
  */
 final class PeerExchange {
     private static final Logger LOG = LogManager.getLogger(PeerExchange.class);
 
-    /** Time before the first router of another domain is met, in ms: callers come first. */
+    /**
+     * Delay before the first router of another domain is connected, in ms: callers have priority.
+     */
     private static final long REMOTE_DELAY_MS = 500;
 
-    /** Time between two of them, in ms; a fleet of 400 is met within ten seconds. */
+    /**
+     * Time between connections to two routers of other domains, in ms; 400 routers are connected
+     * within ten seconds.
+     */
     private static final long REMOTE_INTERVAL_MS = 20;
 
     private final PeerLinks links;
@@ -59,7 +65,10 @@
     private final Counter linksUp;
     private final Set<RouterId> pendingRemotes = new HashSet<>();
 
-    /** Hears what peers have at engines; called on the control thread. */
+    /**
+     * Receives the load that peers report for engines, and failures of servers; called on the
+     * control thread.
+     */
     interface LoadListener {
         void handleLoad(RouterId peer, List<EngineLoad> engines);
 
@@ -67,7 +76,7 @@
 
         void peerLost(RouterId peer);
 
-        /** Tells the peer what this router has at each engine. */
+        /** Sends the peer this router's load on each engine. */
         void sendAll(RouterId peer);
     }
 
@@ -98,7 +107,7 @@
         this.linksUp = checkNotNull(linksUp, "linksUp");
     }
 
-    /** Registers the handlers; call before the links start. */
+    /** Registers the message handlers; call before the links start. */
     void start() {
         links.on(Introduction.class, (from, m, reply) -> onControl(() -> addRouter(m.router())));
         links.on(
@@ -125,7 +134,7 @@
         sharing.start();
     }
 
-    /** Takes note of a router, and introduces this one to it now or soon. */
+    /** Adds a router, and connects to it now or after a short delay. */
     void addRouter(RouterInfo router) {
         if (!routers.add(router)) {
             return;
@@ -146,7 +155,10 @@
         connect(router);
     }
 
-    /** Opens the link with a first message; from now on the router hears what all hear. */
+    /**
+     * Opens the link by sending an introduction; from now on the router receives all broadcast
+     * messages.
+     */
     private void connect(RouterId router) {
         directory.add(router);
         links.send(router, new Introduction(self));
@@ -156,7 +168,10 @@
         ControlThread.execute(control, step, "peers");
     }
 
-    /** Greets peers whose link has come up, and forgets the load of those that are lost. */
+    /**
+     * Sends the current state to peers whose link has come up, and discards the reported load of
+     * peers whose link is down.
+     */
     private final class LinkEvents implements LinkListener {
         @Override
         public void linkUp(Hello peer, LinkDirection direction) {
--- a/masticweir/src/main/java/org/masticweir/relay/RelayMessages.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayMessages.java
@@ -24,7 +24,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** The messages between routers that pass requests on; numbers are never reused. */
+/** The messages between routers; message numbers are never reused. */
 final class RelayMessages {
     private static final int INTRODUCTION = 96;
     private static final int STORE_STATUS = 97;
@@ -48,33 +48,34 @@
 
     private RelayMessages() {}
 
-    /** Where the sender listens. */
+    /** Reports the address of a router to a peer. */
     record Introduction(RouterInfo router) implements PeerMessage {}
 
-    /** A router, its failure domain and the address at which its peers reach it. */
+    /** A router, its failure domain and the address at which its peers connect to it. */
     record RouterInfo(RouterId id, DomainId domain, InetSocketAddress address) {}
 
     /**
-     * Says what the sender knows of the store; asked for, the reply is another.
+     * Reports how much of the store's content the sender has received; the reply to a request of
+     * this type has the same type.
      *
-     * @param newestUpdate revision of the newest word on a server
-     * @param completeTo revision up to which all words on servers are known
+     * @param newestUpdate revision of the newest server update
+     * @param completeTo revision up to which the sender has received all server updates
      */
     record StoreStatus(
             long catalogVersion, StoreContact contact, long newestUpdate, long completeTo)
             implements PeerMessage {}
 
     /**
-     * Asks for the catalog if the peer's is newer.
+     * Requests the catalog if the peer's version is newer.
      *
      * @param newerThan the version that the sender holds
-     * @param takesEdits whether the sender reads edits, which older routers do not
+     * @param takesEdits whether the sender can apply edits, which older routers cannot
      */
     record CatalogRequest(long newerThan, boolean takesEdits) implements PeerMessage {}
 
     /**
-     * The peer's catalog, if it is newer: whole, or as an edit of the text that the asking router
-     * holds. An edit of no text fits any.
+     * Reply with the catalog, if it is newer: its full text, or an edit of the text that the
+     * requesting router holds. An edit of the empty text applies to any text.
      */
     record CatalogReply(String text, Optional<PackedEdit> edit) implements PeerMessage {
         static CatalogReply nothing() {
@@ -89,17 +90,17 @@
             return new CatalogReply("", Optional.of(edit));
         }
 
-        /** Returns its length on a link, in bytes, headers left out. */
+        /** Returns the length on a link without headers, in bytes. */
         long length() {
             return text.length() + edit.map(PackedEdit::length).orElse(0);
         }
     }
 
     /**
-     * All words on servers after one revision of the store up to another.
+     * All server updates after one revision of the store up to another.
      *
-     * @param after {@link UpdateProgress#START} if these are all servers that there are
-     * @param removalDelayMs how long removals among them are doubted still, in ms
+     * @param after {@link UpdateProgress#START} if the message lists all present servers
+     * @param removalDelayMs remaining delay of the pending removals among them, in ms
      */
     record ServerUpdates(
             long after, long completeTo, long removalDelayMs, List<ServerUpdate> updates)
@@ -114,24 +115,26 @@
     }
 
     /**
-     * Asks for the words on servers that the sender lacks; the reply is a {@link ServerUpdates}.
+     * Requests the server updates that the sender has not received; the reply is a {@link
+     * ServerUpdates}.
      *
-     * @param completeTo revision up to which the sender knows all
-     * @param digest of the words that it has, so that no list is sent where both have the same
+     * @param completeTo revision up to which the sender has received all updates
+     * @param digest of the sender's updates, so that a full list is not sent if the receiver has
+     *     the same
      */
     record ServersRequest(long completeTo, long digest) implements PeerMessage {}
 
-    /** What the sender has at engines now. */
+    /** Reports the sender's current load on engines. */
     record LoadUpdate(List<EngineLoad> loads) implements PeerMessage {
         LoadUpdate {
             loads = ImmutableList.copyOf(loads);
         }
     }
 
-    /** What a router has at one engine. */
+    /** Load of one router on one engine. */
     record EngineLoad(ServerIncarnation engine, ServerLoad load) {}
 
-    /** A server failed at the sender, or is gone for good. */
+    /** Reports that a server failed a request of the sender, or is gone for good. */
     record FailureUpdate(ServerIncarnation server, boolean isGone) implements PeerMessage {}
 
     static List<MessageCodec<?>> codecs() {
--- a/masticweir/src/main/java/org/masticweir/relay/RelayPorts.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayPorts.java
@@ -18,12 +18,12 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** The ports of callers, of the balancer and of the metrics page; thread-safe. */
+/** The listening ports for callers, for the balancer and for the metrics page; thread-safe. */
 final class RelayPorts implements AutoCloseable {
-    /** How long a connection without a request is kept, in ms; callers close theirs sooner. */
+    /** Time after which an idle connection is closed, in ms; callers close theirs earlier. */
     private static final int IDLE_TIMEOUT_MS = 60_000;
 
-    /** How long the head of a request may take, in ms. */
+    /** Timeout for reading the head of a request, in ms. */
     private static final int HEAD_TIMEOUT_MS = 10_000;
 
     private static final int MAX_HEADER_BYTES = 64 << 10;
@@ -37,7 +37,7 @@
         this.management = others;
     }
 
-    /** Returns ports that are not open yet. */
+    /** Creates ports that are not open yet. */
     static RelayPorts create(
             RelaySettings settings,
             XnioWorker worker,
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
@@ -53,22 +53,31 @@
 import org.xnio.XnioWorker;
 
 /**
- * One running router that passes requests on; created by {@link #start}. Thread-safe.
+ * A running router that passes requests on to servers; created by {@link #start}. Thread-safe.
  *
- * <p>It joins the parts and decides nothing itself.
+ * <p>Creates and connects the components, and contains no logic of its own.
  */
 public final class RelayRouter implements AutoCloseable {
     private static final Logger LOG = LogManager.getLogger(RelayRouter.class);
 
-    /** Time for a connection to a server, in ms: hundreds of times a way, and a lost packet. */
+    /**
+     * Timeout for a connection to a server, in ms: hundreds of times the network latency, plus one
+     * lost packet.
+     */
     private static final long CONNECT_TIMEOUT_MS = 300;
 
     private static final int BUFFER_BYTES = 16 * 1024;
 
-    /** A change of the catalog must be in force within two seconds: it is waited for. */
+    /**
+     * A catalog change must be in force within two seconds, so the call waits for changes at the
+     * store.
+     */
     private static final FeedPace CATALOG_PACE = FeedPace.of(3_000, 700, 50);
 
-    /** A server that leaves is passed over within two seconds; changes in series cost one call. */
+    /**
+     * A leaving server receives no new requests within two seconds; a series of changes costs one
+     * call.
+     */
     private static final FeedPace SERVER_PACE = FeedPace.of(3_000, 700, 700);
 
     private static final long TICK_MS = 100;
@@ -77,7 +86,10 @@
     private static final int LINK_CONNECT_TIMEOUT_MS = 500;
     private static final int LINK_BACKOFF_MIN_MS = 50;
 
-    /** Longest pause before a lost link is dialled again, in ms: a restart must be met soon. */
+    /**
+     * Longest delay before a reconnection of a lost link, in ms: a router that has restarted must
+     * be reconnected soon.
+     */
     private static final int LINK_BACKOFF_MAX_MS = 500;
 
     private static final int LINK_SILENCE_TIMEOUT_MS = 2_000;
@@ -217,7 +229,10 @@
         LOG.info("router: {} in {} has started", settings.router(), settings.domain());
     }
 
-    /** Without the records, what ended servers before the start would be sent to more of them. */
+    /**
+     * Returns whether the router can serve callers. Without the quarantine records, requests that
+     * ended servers before the start would be sent to further servers.
+     */
     private boolean canServeCallers() {
         return deployment.isReady() && quarantineStore.isLoaded();
     }
@@ -268,7 +283,7 @@
                 thread,
                 loads,
                 health,
-                life -> view.server(life),
+                incarnation -> view.server(incarnation),
                 clock,
                 directory::known,
                 links::send);
@@ -280,7 +295,7 @@
                 clock,
                 metrics,
                 control,
-                news -> directory.known().forEach(p -> links.send(p, news)),
+                update -> directory.known().forEach(p -> links.send(p, update)),
                 quarantineStore::save);
     }
 
@@ -290,7 +305,7 @@
                 permits,
                 clock,
                 metrics,
-                news -> directory.known().forEach(p -> links.send(p, news)));
+                update -> directory.known().forEach(p -> links.send(p, update)));
     }
 
     private LossInquiry lossInquiry() {
@@ -376,7 +391,10 @@
                 clock);
     }
 
-    /** Adds {@code n} to a counter of the program around this router, on the same metrics page. */
+    /**
+     * Adds {@code n} to a counter that the surrounding program exposes on this router's metrics
+     * page.
+     */
     public void incrementCounter(String family, long n) {
         metrics.counter(MetricName.of(family)).inc(n);
     }
@@ -387,32 +405,35 @@
     }
 
     /**
-     * Completes when callers are served. Connections made before that wait, but for the moment in
-     * which the router takes over their port: they are refused then.
+     * Completes when callers are served. Earlier connections wait until then; only connections
+     * attempted at the moment when the router takes over the port are refused.
      */
     public CompletableFuture<Void> servingFuture() {
         return callersPort.opened();
     }
 
     /**
-     * Leaves within the time of grace, and serves what can end in it; the future completes when
-     * {@link #close} may.
+     * Shuts down within the grace period, and serves all requests that can end within it; when the
+     * future completes, {@link #close} may be called.
      *
-     * @param sinceMs when the order to leave came, by the router's clock: it may have waited for
-     *     the start
+     * @param sinceMs time of the shutdown request by the router's clock; it may precede the start
+     *     of the router
      */
     public CompletableFuture<Void> startShutdown(long sinceMs) {
         return shutdown.start(sinceMs);
     }
 
-    /** Completes as the future that {@link #startShutdown} returns does; starts nothing. */
+    /**
+     * Returns a future that completes with that of {@link #startShutdown}; does not start a
+     * shutdown.
+     */
     public CompletableFuture<Void> shutdownFuture() {
         return shutdown.done();
     }
 
     /**
-     * Takes changed settings: the level of the log and the budget of repeats. Addresses stay as
-     * they are until the process starts again; no request is touched.
+     * Applies changed settings: the log level and the retry budget. Addresses change only at a
+     * restart of the process; requests are not affected.
      */
     public void reload(RelaySettings changed) {
         LogSetup.level(Level.valueOf(changed.logLevel().name()));
--- a/masticweir/src/main/java/org/masticweir/relay/RelaySettings.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelaySettings.java
@@ -22,18 +22,18 @@
 import org.masticweir.settings.ValueRule;
 
 /**
- * Settings of a router that passes requests on; immutable.
+ * Settings of a router that passes requests on to servers; immutable.
  *
  * @param callers address that callers connect to
- * @param balancer address at which the balancer asks whether this router takes connections
+ * @param balancer address of the readiness check of the balancer
  * @param peers address that other routers connect to
  * @param metrics address of the metrics page
  * @param store address of the platform's store
- * @param retryShare repeats allowed for a request over all routers
- * @param retryAllowance repeats allowed beyond that in ten seconds over all routers; the platform
+ * @param retryShare retries allowed for each request, over all routers
+ * @param retryAllowance additional retries allowed in ten seconds, over all routers; the platform
  *     scales it with the deployment, so it may have a fraction
  * @param quarantineMs longest time for which a request that ends its servers is not sent
- * @param graceMs time between the order to leave and the end of the process
+ * @param graceMs time between the shutdown request and the end of the process
  */
 public record RelaySettings(
         RouterId router,
@@ -48,7 +48,7 @@
         long quarantineMs,
         long graceMs,
         LogLevel logLevel) {
-    /** The longest file read, in characters. */
+    /** Maximum length of a settings file, in characters. */
     public static final int MAX_CHARS = 65_536;
 
     private static final int MAX_SECTIONS = 16;
@@ -87,7 +87,7 @@
     /**
      * Reads the settings in {@code file}.
      *
-     * @throws MasticweirException if the file can't be read or breaks a rule
+     * @throws MasticweirException if the file cannot be read or has an invalid setting
      */
     public static RelaySettings read(Path file) {
         try {
@@ -102,10 +102,10 @@
     }
 
     /**
-     * Reads settings from {@code text}.
+     * Parses settings from {@code text}.
      *
-     * @param source named in errors
-     * @throws MasticweirException if the text breaks a rule
+     * @param source name used in error messages
+     * @throws MasticweirException if the text has an invalid setting
      */
     public static RelaySettings parse(String source, String text) {
         ProblemLog log = ProblemLog.of(source);
@@ -120,7 +120,7 @@
         return log.result(reader::settings).orElseThrow();
     }
 
-    /** Reads one text's values. */
+    /** Reads the values from the sections of one text. */
     private static final class Reader {
         private static final ValueRule<InetSocketAddress> ADDRESS = ValueRule.address();
 
--- a/masticweir/src/main/java/org/masticweir/relay/RelayShutdown.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayShutdown.java
@@ -11,24 +11,25 @@
 import org.masticweir.time.Clock;
 
 /**
- * Takes a router out of service within its time of grace; thread-safe.
+ * Graceful shutdown of a router within its grace period; thread-safe.
  *
- * <p>The balancer is told first. It goes on sending for a few seconds, in which everything is
- * served that can end in time. What is left shortly before the end gets an error as its answer; a
- * stream that has begun is broken off.
+ * <p>The balancer's readiness check fails first. The balancer still sends requests for a few
+ * seconds, and the router serves every request that can end in time. Shortly before the end, each
+ * remaining request is answered with an error; a stream that has begun is cut off.
  */
 final class RelayShutdown {
     private static final Logger LOG = LogManager.getLogger(RelayShutdown.class);
 
-    /** What is left of the time of grace for closing, in ms. */
+    /** Part of the grace period reserved for closing, in ms. */
     private static final long CLOSE_RESERVE_MS = 200;
 
-    /** Time for a late thread to write the last answers, before that, in ms. */
+    /** Time before that for a late thread to write the last answers, in ms. */
     private static final long LAST_ANSWERS_MS = 300;
 
     /**
-     * Time after which the balancer sends new connections elsewhere, in ms: two questions a second
-     * apart, and their way. Closed sooner, callers would come back here.
+     * Time after which the balancer sends new connections to other routers, in ms: two readiness
+     * checks one second apart, and their latency. If idle connections were closed earlier, callers
+     * would reconnect to this router.
      */
     private static final long BALANCER_REACTION_MS = 2_200;
 
@@ -44,10 +45,10 @@
     private boolean started;
 
     /**
-     * Creates it; nothing begins before {@link #start}.
+     * Creates a shutdown that begins with {@link #start}.
      *
-     * @param closeIdle closes the connections of callers that wait for a next request
-     * @param endRequests ends the requests that are under way, each with an answer
+     * @param closeIdle closes the idle connections of callers
+     * @param endRequests ends the requests in flight, each with an answer
      */
     RelayShutdown(
             DrainingAdmission intake,
@@ -56,7 +57,7 @@
             ScheduledExecutorService control,
             Clock clock,
             long graceMs) {
-        checkArgument(graceMs >= 0, "grace of %s ms", graceMs);
+        checkArgument(graceMs >= 0, "grace period of %s ms", graceMs);
         this.intake = checkNotNull(intake, "intake");
         this.closeIdle = checkNotNull(closeIdle, "closeIdle");
         this.endRequests = checkNotNull(endRequests, "endRequests");
@@ -66,9 +67,10 @@
     }
 
     /**
-     * Starts it, once; the future completes when nothing is under way or the time is over.
+     * Starts the shutdown, once; the future completes when no request is in flight or the grace
+     * period is over.
      *
-     * @param sinceMs when the order to leave came, from which the time of grace counts
+     * @param sinceMs time of the shutdown request, at which the grace period begins
      */
     synchronized CompletableFuture<Void> start(long sinceMs) {
         if (!started) {
@@ -81,7 +83,8 @@
             long endsMs = sinceMs + Math.max(0, graceMs - CLOSE_RESERVE_MS - LAST_ANSWERS_MS);
             intake.startDraining(sinceMs, endsMs);
             runAt(Math.min(sinceMs + BALANCER_REACTION_MS, endsMs), closeIdle);
-            // Before the first look: a late thread must not close over requests without an answer.
+            // Scheduled before the first check: on a late thread, the check must not complete the
+            // shutdown while requests have no answer.
             runAt(endsMs, this::endRequests);
             runAt(
                     Math.min(sinceMs + DrainingAdmission.BALANCER_DETECTION_MS, endsMs),
@@ -90,7 +93,7 @@
         return done;
     }
 
-    /** Completes as the future that {@link #start} returns does; starts nothing. */
+    /** Returns a future that completes with that of {@link #start}; does not start the shutdown. */
     CompletableFuture<Void> done() {
         return done.copy();
     }
@@ -106,7 +109,8 @@
     private void check(long sinceMs) {
         int left = intake.inFlightCount();
         if (left == 0) {
-            // Before the last look: what came in between is refused, not cut off.
+            // Closed before the last count: a request that arrives in between is refused, not cut
+            // off.
             intake.close();
             left = intake.inFlightCount();
         }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayView.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayView.java
@@ -13,10 +13,11 @@
 import org.masticweir.catalog.ServiceName;
 
 /**
- * What the traffic thread goes by; immutable, published by the control thread.
+ * Snapshot of the deployment that the traffic thread uses; immutable, published by the control
+ * thread.
  *
- * @param catalog empty until one was read
- * @param isCatalogFresh whether the catalog is fresh enough to say that something does not exist
+ * @param catalog empty until one was received
+ * @param isCatalogFresh whether the catalog is fresh enough to report that something does not exist
  */
 record RelayView(
         Optional<Catalog> catalog,
@@ -34,13 +35,15 @@
         return EMPTY;
     }
 
-    static RelayView of(Optional<Catalog> catalog, List<BackendServer> servers, boolean sure) {
-        return new RelayView(catalog, Multimaps.index(servers, BackendServer::service), sure);
+    static RelayView of(
+            Optional<Catalog> catalog, List<BackendServer> servers, boolean isCatalogFresh) {
+        return new RelayView(
+                catalog, Multimaps.index(servers, BackendServer::service), isCatalogFresh);
     }
 
-    /** Returns the server in that life; empty if it is gone or has started again. */
-    Optional<BackendServer> server(ServerIncarnation life) {
-        return servers.values().stream().filter(s -> s.incarnation().equals(life)).findAny();
+    /** Returns the server in that incarnation; empty if it is gone or has restarted. */
+    Optional<BackendServer> server(ServerIncarnation incarnation) {
+        return servers.values().stream().filter(s -> s.incarnation().equals(incarnation)).findAny();
     }
 
     ImmutableList<BackendServer> serversOf(ServiceName service) {
--- a/masticweir/src/main/java/org/masticweir/relay/ServerUpdate.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerUpdate.java
@@ -15,7 +15,7 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The word on one backend server as of a revision of the store; immutable.
+ * The state of one backend server as of a revision of the store; immutable.
  *
  * @param server empty if its entry was removed
  */
@@ -36,7 +36,7 @@
         return new ServerUpdate(id, revision, Optional.empty());
     }
 
-    /** Returns what it says, for the log. */
+    /** Returns a description for the log. */
     String describe() {
         if (server.isEmpty()) {
             return "is gone";
--- a/masticweir/src/main/java/org/masticweir/relay/StoreReading.java
+++ b/masticweir/src/main/java/org/masticweir/relay/StoreReading.java
@@ -12,7 +12,7 @@
 import org.masticweir.id.RouterId;
 import org.masticweir.time.Clock;
 
-/** This router's part in reading the store's tables; owned by the control thread. */
+/** This router's role in reading the store's tables; owned by the control thread. */
 final class StoreReading {
     private static final Logger LOG = LogManager.getLogger(StoreReading.class);
 
@@ -26,7 +26,7 @@
         this.clock = checkNotNull(clock, "clock");
     }
 
-    /** Takes the followers of all tables, once. */
+    /** Sets the followers of all tables, once. */
     void follow(TableFollower... tables) {
         followers = List.of(tables);
         tick();
@@ -36,11 +36,15 @@
         return share.role(clock.nowMs());
     }
 
-    /** Begins to read if it has become this router's part. */
+    /** Starts reading if the role now requires it, and logs a change of the role. */
     void tick() {
         ReadingRole role = role();
         if (role != lastRole) {
-            LOG.info("store: {} after {}, {}", role, lastRole, share.basis(clock.nowMs()));
+            LOG.info(
+                    "store: reading role {}, was {}, {}",
+                    role,
+                    lastRole,
+                    share.basis(clock.nowMs()));
             lastRole = role;
         }
         if (role.reads()) {
@@ -48,22 +52,25 @@
         }
     }
 
-    /** Takes word of a router of the own domain. */
+    /** Records the store contact reported by a router of the own domain. */
     void recordContact(RouterId from, StoreContact contact) {
         share.heard(from, contact, clock.nowMs());
     }
 
-    /** Takes note that the link from a router has closed. */
+    /** Records that the link from a router has closed. */
     void recordLinkClosed(RouterId router) {
         share.closed(router);
     }
 
-    /** Takes note that the servers' table is known up to {@code revision} by a reader's word. */
+    /**
+     * Records that the servers' table was received up to {@code revision} through a router that
+     * reads the store.
+     */
     void recordReceived(TableFollower servers, long revision) {
         servers.told(revision, share.wasLost(clock.nowMs()));
     }
 
-    /** Returns what this router may tell of the store: the worst that its followers say. */
+    /** Returns the store contact to report to peers: the worst among the followers. */
     StoreContact contact() {
         StoreContact worst = StoreContact.HEARD;
         for (TableFollower follower : followers) {
@@ -76,7 +83,10 @@
         return worst;
     }
 
-    /** Returns whether this router must ask peers for what it lacks, as no store tells it. */
+    /**
+     * Returns whether this router must request missing updates from peers because it receives none
+     * from the store.
+     */
     boolean dependsOnPeers() {
         return !role().reads() || contact() == StoreContact.LOST;
     }
--- a/masticweir/src/main/java/org/masticweir/relay/StoreSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/StoreSharing.java
@@ -21,20 +21,24 @@
 import org.masticweir.relay.RelayMessages.StoreStatus;
 
 /**
- * What routers tell each other of the store; owned by the control thread.
+ * Distributes changes of the store among routers; owned by the control thread.
  *
- * <p>Those that read it tell their domain of newer catalogs and of servers, and the relays of the
- * other domains, which tell theirs what is news there. So a domain hears of a change also while the
- * store turns all its readers away. Each pulse says how far its sender knows the store; who lies
- * behind asks for what it lacks.
+ * <p>The routers that read the store notify their own domain of newer catalogs and of server
+ * updates, and also the gateways of the other domains, which forward whatever is new to their own
+ * domain. A domain therefore receives a change even while the store refuses all its readers. Each
+ * periodic status message reports how much of the store's content its sender has received; a router
+ * that lacks something requests it.
  */
 final class StoreSharing {
     private static final Logger LOG = LogManager.getLogger(StoreSharing.class);
 
-    /** Time between two pulses, in ms: half of the time in which a change must be in force. */
+    /**
+     * Time between two rounds of status messages, in ms: half of the time in which a change must be
+     * in force.
+     */
     static final long STATUS_INTERVAL_MS = 1_000;
 
-    /** Time for a peer's answer, in ms. */
+    /** Timeout of a request to a peer, in ms. */
     private static final long REQUEST_TIMEOUT_MS = 800;
 
     private final PeerSender links;
@@ -48,10 +52,10 @@
     private boolean requestInFlight;
 
     /**
-     * Creates a sharing that tells nobody before {@link #start}.
+     * Creates an instance that sends nothing before {@link #start}.
      *
-     * @param updatesReceived hears up to which revision all words on servers are known from a
-     *     reader
+     * @param updatesReceived receives the revision up to which all server updates have been
+     *     received, as confirmed by a router in contact with the store
      */
     StoreSharing(
             PeerSender links,
@@ -71,7 +75,7 @@
         catalogs.onNewerVersion(this::catalogReceived);
     }
 
-    /** Begins to tell peers what this router knows. */
+    /** Starts the periodic messages to peers. */
     void start() {
         scheduleEvery(STATUS_INTERVAL_MS, this::pollPeers);
         scheduleEvery(ReadingShare.WORD_MS, this::reportToOwnDomain);
@@ -81,29 +85,32 @@
         control.scheduleWithFixedDelay(step, ms, ms, TimeUnit.MILLISECONDS);
     }
 
-    /** Greets a peer whose link has come up: it may have been away for long. */
+    /**
+     * Sends the status to a peer whose link has come up: the peer may have missed changes for a
+     * long time.
+     */
     void linkUp(RouterId peer) {
         if (routers.storeRecipients().contains(peer)) {
             links.send(peer, ownStatus());
         }
     }
 
-    /** Tells that the catalog has changed by the store's word. */
+    /** Notifies peers of a catalog received from the store. */
     void catalogChanged() {
         catalogs.recordCatalog();
         send(routers.storeRecipients(), ownStatus());
     }
 
-    /** Tells that the catalog has changed by a peer's word. */
+    /** Notifies the own domain of a catalog received from another domain. */
     private void catalogReceived(RouterId by) {
         if (!routers.isInOwnDomain(by)) {
             send(routers.ownDomain(), ownStatus());
         }
     }
 
-    /** Tells what the store said of servers. */
-    void serversChanged(Optional<ServerUpdates> news) {
-        news.ifPresent(n -> send(routers.storeRecipients(), n));
+    /** Sends server updates from the store to peers. */
+    void serversChanged(Optional<ServerUpdates> updates) {
+        updates.ifPresent(u -> send(routers.storeRecipients(), u));
     }
 
     private void send(Collection<RouterId> recipients, PeerMessage message) {
@@ -118,14 +125,17 @@
                 deployment.completeTo());
     }
 
-    /** Says more often than the pulse that this router reads: others stand in without it. */
+    /**
+     * Reports to the own domain, more often than by the periodic status, that this router reads the
+     * store: without these messages, substitutes would start to read.
+     */
     void reportToOwnDomain() {
         if (reading.role().reads()) {
             send(routers.ownDomain(), ownStatus());
         }
     }
 
-    /** Says to the routers whose turn it is what this one knows, and asks what they know. */
+    /** Exchanges status messages with the routers that are polled in this round. */
     void pollPeers() {
         StoreStatus status = ownStatus();
         for (RouterId peer : routers.pollTargets(round++)) {
@@ -133,13 +143,13 @@
                     .thenAccept(m -> onControl(() -> recordStatus(peer, (StoreStatus) m)))
                     .exceptionally(
                             e -> {
-                                LOG.debug("peers: no answer of {}, {}", peer, e.getMessage());
+                                LOG.debug("peers: no reply from {}, {}", peer, e.getMessage());
                                 return null;
                             });
         }
     }
 
-    /** Takes a peer's pulse and answers with this router's. */
+    /** Handles a peer's status, and replies with this router's. */
     void handleStatus(RouterId from, StoreStatus status, Reply reply) {
         recordStatus(from, status);
         reply.send(ownStatus());
@@ -162,7 +172,7 @@
         }
     }
 
-    /** Takes a peer's words on servers. */
+    /** Handles server updates from a peer. */
     void handleUpdates(RouterId from, ServerUpdates updates) {
         DeploymentState.UpdateResult result = deployment.applyPeerUpdates(updates, from.value());
         if (!result.isComplete()) {
@@ -188,15 +198,15 @@
                                         }));
     }
 
-    private void handleReply(RouterId from, Optional<PeerMessage> answer) {
-        if (answer.isEmpty()) {
-            LOG.info("instances: {} did not give the words that are missing", from);
+    private void handleReply(RouterId from, Optional<PeerMessage> reply) {
+        if (reply.isEmpty()) {
+            LOG.info("instances: {} did not reply with the missing updates", from);
             return;
         }
-        deployment.applyPeerUpdates((ServerUpdates) answer.get(), from.value());
+        deployment.applyPeerUpdates((ServerUpdates) reply.get(), from.value());
     }
 
-    /** Gives a peer what it lacks of the words on servers. */
+    /** Replies with the server updates that the peer lacks. */
     void handleRequest(ServersRequest request, Reply reply) {
         reply.send(deployment.replyTo(request));
     }
--- a/masticweir/src/main/java/org/masticweir/relay/ThreadDelays.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ThreadDelays.java
@@ -14,10 +14,10 @@
 import org.masticweir.time.Clock;
 
 /**
- * Measures how late the router's two threads run what is due; thread-safe.
+ * Measures the scheduling delay of the router's two threads; thread-safe.
  *
- * <p>All waits of requests are only as exact as these threads: without it a busy processor can't be
- * told from a wrong decision.
+ * <p>All timeouts of requests are only as exact as these threads. Without this measurement, a busy
+ * processor cannot be distinguished from a wrong decision.
  */
 final class ThreadDelays {
     private static final Logger LOG = LogManager.getLogger(ThreadDelays.class);
@@ -25,7 +25,7 @@
     private static final long PROBE_INTERVAL_MS = 500;
     private static final long WINDOW_MS = 60_000;
 
-    /** Delay from which a line is written, in ms. */
+    /** Shortest delay that is logged, in ms. */
     static final long LOG_THRESHOLD_MS = 100;
 
     private final ScheduledExecutorService control;
@@ -46,7 +46,7 @@
         trafficMs = histogram(metrics, "traffic");
     }
 
-    /** Measures from now on. */
+    /** Starts the periodic measurement. */
     void start() {
         probeAt(clock.nowMs() + PROBE_INTERVAL_MS);
     }
@@ -57,11 +57,11 @@
 
     private void probe(long dueMs) {
         long now = clock.nowMs();
-        traffic.execute(() -> record(now - dueMs, clock.nowMs() - now));
+        traffic.execute(() -> recordDelays(now - dueMs, clock.nowMs() - now));
         probeAt(now + PROBE_INTERVAL_MS);
     }
 
-    private void record(long controlLateMs, long trafficLateMs) {
+    private void recordDelays(long controlLateMs, long trafficLateMs) {
         controlMs.update(controlLateMs);
         trafficMs.update(trafficLateMs);
         if (Math.max(controlLateMs, trafficLateMs) >= LOG_THRESHOLD_MS) {
--- a/masticweir/src/main/java/org/masticweir/relay/UnreadableRows.java
+++ b/masticweir/src/main/java/org/masticweir/relay/UnreadableRows.java
@@ -11,19 +11,24 @@
 import org.masticweir.store.RowKey;
 
 /**
- * Reports rows of the store that can't be read, each revision of a row once; confined to the
- * control thread.
+ * Logs and counts rows of the store that cannot be parsed, once for each revision of a row;
+ * confined to the control thread.
  *
- * <p>Failure that it answers: another writer leaves a row that is no entry. A table that is read
- * whole again and again would otherwise fill the log with it.
+ * <p>Prevents a flood of log lines: another writer may leave an invalid row in a table that is read
+ * in full again and again.
  */
 final class UnreadableRows {
     private static final Logger LOG = LogManager.getLogger(UnreadableRows.class);
 
-    /** Rows remembered; past that, the one that was reported longest ago may be reported again. */
+    /**
+     * Maximum number of rows stored; beyond it, the row reported first is dropped and may be
+     * reported again.
+     */
     private static final int MAX_ROWS = 1_024;
 
-    /** Longest reason logged, in characters: it may quote the row, which can be long. */
+    /**
+     * Maximum length of a logged reason, in characters: it may quote the row, which can be long.
+     */
     private static final int MAX_REASON_CHARS = 200;
 
     private final Counter counter;
--- a/masticweir/src/main/java/org/masticweir/relay/UpdateProgress.java
+++ b/masticweir/src/main/java/org/masticweir/relay/UpdateProgress.java
@@ -1,29 +1,35 @@
 package org.masticweir.relay;
 
 /**
- * Up to which revision of the store this router knows every word on servers; not thread-safe.
+ * Tracks the revision of the store up to which this router has received every server update; not
+ * thread-safe.
  *
- * <p>Failure guarded against: a message between routers is lost, or they come in another order, and
- * a server that leaves is sent requests for good. Each message says after which revision its words
- * follow; where that lies beyond what is known, words are missing and are asked for.
+ * <p>Prevents sending requests to a leaving server for good after a message between routers was
+ * lost or reordered. Each message contains the revision after which its updates follow; if that
+ * lies beyond the revision tracked here, updates are missing and are requested.
  */
 final class UpdateProgress {
-    /** What all words follow: a message that gives it lists all servers that there are. */
+    /** Revision before all updates: a message that starts at it lists all present servers. */
     static final long START = -1;
 
     private long completeTo = START;
     private long newest = START;
 
-    /** Takes all that the store had at {@code revision}, the newest of it written at {@code at}. */
+    /**
+     * Records a reading of the store at {@code revision} whose newest row was written at {@code
+     * newestRevision}.
+     */
     void recordReading(long revision, long newestRevision) {
         completeTo = Math.max(completeTo, revision);
         newest = Math.max(newest, newestRevision);
     }
 
     /**
-     * Takes all words after {@code after} up to {@code to}; returns whether none before is missing.
+     * Records all updates after {@code after} up to {@code upTo}; returns whether no earlier update
+     * is missing.
      *
-     * @param newestRevision revision of the newest of these words; {@code after} if there are none
+     * @param newestRevision revision of the newest of these updates; {@code after} if there are
+     *     none
      */
     boolean recordUpdates(long after, long upTo, long newestRevision) {
         newest = Math.max(newest, newestRevision);
@@ -34,12 +40,15 @@
         return true;
     }
 
-    /** Returns the revision up to which all words are known; {@link #START} before the first. */
+    /**
+     * Returns the revision up to which all updates have been received; {@link #START} before the
+     * first.
+     */
     long completeTo() {
         return completeTo;
     }
 
-    /** Returns the revision of the newest word known with all before it. */
+    /** Returns the revision of the newest update for which all earlier ones have been received. */
     long newest() {
         return Math.min(newest, completeTo);
     }
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogDistributionTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogDistributionTest.java
@@ -10,9 +10,11 @@
 import org.masticweir.config.DocumentEdit;
 
 /**
- * A catalog of many routes spreads over 95 routers in six domains, each on a link of 14 Mbit/s.
+ * A catalog with many routes is distributed to 95 routers in six domains, each on a link of 14
+ * Mbit/s.
  *
- * <p>The bound of a change is two seconds from the store's word, the shortest that deployments ask.
+ * <p>A change must be in force two seconds after the store reports it, the shortest bound that
+ * deployments require.
  */
 class CatalogDistributionTest {
     private static final int ROUTERS = 95;
@@ -21,15 +23,15 @@
     private static final long BOUND_MS = 2_000;
     private static final double BYTES_PER_MS = 1_750;
 
-    /** Long enough for pulses to have settled who reads. */
+    /** Time after which the status messages have settled which routers read the store. */
     private static final long SETTLED_MS = 8_000;
 
-    /** What control may cost a router, in bytes a second. */
+    /** Maximum control traffic of a router, in bytes per second. */
     private static final long MAX_CONTROL_BYTES_PER_S = 12_000;
 
     /**
-     * Returns a catalog as routers are given it: one entry a route, names that nobody can guess,
-     * the version before them and the limits after them.
+     * Returns a catalog in the format that routers receive: one entry for each route, with random
+     * names, the version before the routes and the limits after them.
      */
     private static String catalog(long version, int routes) {
         Random random = new Random(39);
@@ -54,7 +56,7 @@
     private static SimulatedFleet settled(String catalog) {
         SimulatedFleet fleet = new SimulatedFleet(ROUTERS, DOMAINS, BYTES_PER_MS, catalog);
         fleet.runFor(SETTLED_MS);
-        assertEquals(ROUTERS, fleet.countHoldersAfter(1, 0), "routers that have settled");
+        assertEquals(ROUTERS, fleet.countHoldersAfter(1, 0), "routers that hold version 1");
         return fleet;
     }
 
@@ -63,7 +65,8 @@
     }
 
     /**
-     * A change was sent whole to each peer, later than the peers waited, and so again and again.
+     * Each change was sent as the full text to each peer, arrived after the timeout of the request,
+     * and was requested again and again.
      */
     @Nested
     class Change {
@@ -103,13 +106,16 @@
         }
     }
 
-    /** A reply came later than the ask waited, was dropped, and was asked for again for good. */
+    /**
+     * A reply arrived after the timeout of its request and was discarded, and the request was
+     * repeated endlessly.
+     */
     @Nested
     class ChangeSlowerThanTheRequestTimeout {
         private static final int TEAMS = 4_500;
         private static final int KEYS_A_TEAM = 4;
 
-        /** In force everywhere, for any change, in ms. */
+        /** Time within which any change is in force everywhere, in ms. */
         private static final long ANY_CHANGE_MS = 10_000;
 
         private static String allKeysOf(long version) {
@@ -147,7 +153,10 @@
         }
     }
 
-    /** A list of many servers came later than the ask waited, and was asked for again for good. */
+    /**
+     * A list of many servers arrived after the timeout of its request, and the request was repeated
+     * endlessly.
+     */
     @Nested
     class ServerListSlowerThanTheRequestTimeout {
         private static final int SERVERS = 2_600;
@@ -165,11 +174,13 @@
             fleet.isCut = (from, to) -> false;
             List<SimulatedFleet.Router> all = List.copyOf(fleet.routers.values());
             long tookMs = fleet.timeUntilAllSee(all, "82", EVENTUAL_MS);
-            assertTrue(tookMs <= EVENTUAL_MS, "known by all after " + tookMs + " ms");
+            assertTrue(tookMs <= EVENTUAL_MS, "received by all after " + tookMs + " ms");
         }
     }
 
-    /** What is longer than a frame between routers may be was never given to anybody. */
+    /**
+     * A catalog longer than the maximum frame between routers was never delivered to any router.
+     */
     @Nested
     class CatalogLongerThanAFrame {
         private static final int MANY_ROUTES = 6_000;
@@ -183,22 +194,25 @@
     }
 
     /**
-     * A router that was cut off while versions came and went knows none that its peers remember.
+     * A router that was cut off during several changes holds a version that its peers no longer
+     * store.
      */
     @Nested
     class DisconnectedRouter {
         @Test
         void receivesTheNewestVersionInTime() {
             SimulatedFleet fleet = settled(catalog(1, ROUTES));
-            List<SimulatedFleet.Router> home = fleet.byRank("d0");
-            SimulatedFleet.Router away = home.get(home.size() - 1);
-            away.fault = SimulatedFleet.StoreFault.SILENT;
-            fleet.isCut = (from, to) -> from.equals(away.at.id()) || to.equals(away.at.id());
+            List<SimulatedFleet.Router> ranked = fleet.byRank("d0");
+            SimulatedFleet.Router disconnected = ranked.get(ranked.size() - 1);
+            disconnected.fault = SimulatedFleet.StoreFault.SILENT;
+            fleet.isCut =
+                    (from, to) ->
+                            from.equals(disconnected.at.id()) || to.equals(disconnected.at.id());
             for (int version = 2; version <= 9; version++) {
                 fleet.store.catalog(catalog(version, ROUTES));
                 fleet.runFor(BOUND_MS);
             }
-            assertEquals(1, away.catalogVersion());
+            assertEquals(1, disconnected.catalogVersion());
             fleet.isCut = (from, to) -> false;
             assertInForceInTime(fleet, 9);
         }
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogRepliesTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogRepliesTest.java
@@ -14,7 +14,7 @@
 import org.masticweir.relay.RelayMessages.CatalogReply;
 import org.masticweir.relay.RelayMessages.CatalogRequest;
 
-/** What a router gives others of the catalogs that came in force at it. */
+/** Replies to catalog requests, built from the catalogs recently in force. */
 class CatalogRepliesTest {
     @Property(tries = 500, seed = "39")
     void unpackReversesPacking(@ForAll String before, @ForAll String after) {
@@ -27,7 +27,7 @@
         assertThrows(IllegalArgumentException.class, () -> PackedEdit.ofBytes(bytes).unpack());
     }
 
-    /** A router that asks, by what it holds. */
+    /** Replies to a router, depending on the version that it holds. */
     @Nested
     class Replies {
         private final CatalogReplies texts = new CatalogReplies();
@@ -43,8 +43,8 @@
         }
 
         private Optional<String> textFor(long held) {
-            CatalogReply offer = texts.replyTo(new CatalogRequest(held, true));
-            return offer.edit().flatMap(edit -> edit.unpack().applyTo(text(held)));
+            CatalogReply reply = texts.replyTo(new CatalogRequest(held, true));
+            return reply.edit().flatMap(edit -> edit.unpack().applyTo(text(held)));
         }
 
         @Test
@@ -66,16 +66,19 @@
         @Test
         void containTheFullTextForAnOlderRouter() {
             putInForce(1, 2);
-            CatalogReply offer = texts.replyTo(new CatalogRequest(1, false));
-            assertEquals(CatalogReply.whole(text(2)), offer);
+            CatalogReply reply = texts.replyTo(new CatalogRequest(1, false));
+            assertEquals(CatalogReply.whole(text(2)), reply);
         }
 
-        /** Two routers hold different texts under one version; an edit must fit its own only. */
+        /**
+         * Two routers hold different texts under the same version; an edit must apply only to the
+         * text it was made from.
+         */
         @Test
         void containEditsThatApplyToNoOtherText() {
             putInForce(1, 2);
-            CatalogReply offer = texts.replyTo(new CatalogRequest(1, true));
-            DocumentEdit edit = offer.edit().orElseThrow().unpack();
+            CatalogReply reply = texts.replyTo(new CatalogRequest(1, true));
+            DocumentEdit edit = reply.edit().orElseThrow().unpack();
             assertTrue(edit.applyTo(text(1)).isPresent());
             assertEquals(Optional.empty(), edit.applyTo("1\n" + "{\"route\":\"x\"}\n".repeat(400)));
         }
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogSchedulePropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogSchedulePropertyTest.java
@@ -14,8 +14,8 @@
 import org.masticweir.relay.SimulatedFleet.StoreFault;
 
 /**
- * Versions of the catalog in random schedules of faults: the store is late, silent or turns routers
- * away, links are cut, readers are killed.
+ * Distribution of catalog versions under random schedules of faults: the store is late, silent or
+ * refuses routers, links are cut, readers are killed.
  */
 class CatalogSchedulePropertyTest {
     private static final int ROUTERS = 24;
@@ -24,12 +24,15 @@
     private static final double BYTES_PER_MS = 1_750;
     private static final long SETTLED_MS = 8_000;
 
-    /** In which any change is in force everywhere once all is well, in ms. */
+    /** Time within which any change is in force everywhere after all faults have ended, in ms. */
     private static final long CONVERGENCE_MS = 10_000;
 
     private static final long[] ANSWERS_MS = {4, 100, 1_330, 3_000};
 
-    /** A fleet, the newest version at the store, and what each router was last seen to hold. */
+    /**
+     * A simulated fleet, the newest version in the store, and the version last observed at each
+     * router.
+     */
     private static final class Simulation {
         private final SplittableRandom random;
         private final SimulatedFleet fleet =
@@ -68,7 +71,7 @@
             fleet.isCut = (from, to) -> from.equals(one) || to.equals(one);
         }
 
-        /** A third of the routers go on to the end, so that there is a fleet to speak of. */
+        /** Keeps at least a third of the routers running, so that a fleet remains to be checked. */
         private void stop(Router router) {
             long running = fleet.routers.values().stream().filter(r -> r.running).count();
             if (running > ROUTERS / 3) {
@@ -95,14 +98,15 @@
 
     @Property(tries = 60, seed = "39")
     void versionsNeverDecreaseAndAllRoutersConverge(@ForAll long seed) {
-        Simulation play = new Simulation(seed);
+        Simulation simulation = new Simulation(seed);
         for (int i = 0; i < STEPS; i++) {
-            play.step();
+            simulation.step();
         }
-        play.endFaults();
-        for (Router router : play.fleet.routers.values()) {
+        simulation.endFaults();
+        for (Router router : simulation.fleet.routers.values()) {
             if (router.running) {
-                assertEquals(play.version, router.catalogVersion(), router.at.id() + " holds");
+                assertEquals(
+                        simulation.version, router.catalogVersion(), router.at.id() + " holds");
             }
         }
     }
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogSharingTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogSharingTest.java
@@ -11,7 +11,7 @@
 import org.masticweir.relay.RelayMessages.CatalogRequest;
 import org.masticweir.time.ManualScheduler;
 
-/** What a router asks its peers for, and what it makes of their replies. */
+/** Requests of a router for a newer catalog, and its handling of the replies. */
 class CatalogSharingTest {
     private static final RouterId FIRST = RouterId.of("first");
     private static final RouterId SECOND = RouterId.of("second");
@@ -28,7 +28,7 @@
             new CatalogSharing(
                     peers, deployment, scheduler, scheduler.clock(), new MetricRegistry());
 
-    /** Each version changes the line of its number, and no other one. */
+    /** Returns a text in which only the line with the number of the version differs. */
     private static String text(long version) {
         StringBuilder text = new StringBuilder().append(version).append('\n');
         for (int line = 0; line < 50; line++) {
@@ -55,11 +55,14 @@
         scheduler.runTo(scheduler.clock().nowMs() + HedgedPeerRequest.HEDGE_DELAY_MS);
     }
 
-    private long heldVersionInRequest(int ask) {
-        return ((CatalogRequest) peers.requests.get(ask)).newerThan();
+    private long heldVersionInRequest(int request) {
+        return ((CatalogRequest) peers.requests.get(request)).newerThan();
     }
 
-    /** A newer version came meanwhile; the edit of the older text was held to fit none. */
+    /**
+     * An edit whose base was replaced by a newer version before the reply arrived was rejected as
+     * not applicable.
+     */
     @Test
     void lateEditAppliesToTheTextAtTheRequest() {
         putInForce(1);
@@ -83,7 +86,10 @@
         assertEquals(3, deployment.catalogVersion());
     }
 
-    /** Each pulse asked for the whole text of a version that could not be read. */
+    /**
+     * Each status message of a peer triggered another request for the full text of a version that
+     * could not be parsed.
+     */
     @Test
     void unparsableVersionIsRequestedOnce() {
         putInForce(1);
--- a/masticweir/src/test/java/org/masticweir/relay/ControlExecutorTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ControlExecutorTest.java
@@ -6,11 +6,14 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Steps that fail on the control thread. */
+/** Tasks that fail on the control thread. */
 class ControlExecutorTest {
     private static final long WAIT_MS = 5_000;
 
-    /** A router never hears of a newer configuration: its pulse had failed once and was over. */
+    /**
+     * After one failure of its periodic status task, which then never ran again, a router received
+     * no newer configuration.
+     */
     @Test
     void periodicTaskContinuesAfterAFailure() throws InterruptedException {
         CountDownLatch runs = new CountDownLatch(3);
@@ -18,7 +21,7 @@
         control.scheduleWithFixedDelay(
                 () -> {
                     runs.countDown();
-                    throw new IllegalStateException("asked for by the test");
+                    throw new IllegalStateException("thrown by the test");
                 },
                 1,
                 1,
--- a/masticweir/src/test/java/org/masticweir/relay/DeploymentStateTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/DeploymentStateTest.java
@@ -25,13 +25,15 @@
 import org.masticweir.store.RowKey;
 import org.masticweir.time.ManualClock;
 
-/** What a router believes of its deployment while rows come that it can't read. */
+/**
+ * A router's view of its deployment: unreadable rows, updates from peers, and restarts of servers.
+ */
 class DeploymentStateTest {
     static final String TABLE = "instances";
 
     /**
-     * An entry is {@code PORT}, or {@code PORT@START}; a catalog is its version, and more lines
-     * that nobody reads.
+     * An entry is {@code PORT}, or {@code PORT@START}; a catalog is its version, followed by lines
+     * that are ignored.
      */
     static final class TestFormat implements DeploymentFormat {
         @Override
@@ -88,23 +90,24 @@
         return row(key, revision, Optional.of(value));
     }
 
-    private Optional<ServerUpdates> applyRows(boolean whole, FeedOutcome.Change... changes) {
-        return applyRows(whole, clock.nowMs(), changes);
+    private Optional<ServerUpdates> applyRows(
+            boolean isFullReading, FeedOutcome.Change... changes) {
+        return applyRows(isFullReading, clock.nowMs(), changes);
     }
 
     private Optional<ServerUpdates> applyRows(
-            boolean whole, long removalDueMs, FeedOutcome.Change... changes) {
+            boolean isFullReading, long removalDueMs, FeedOutcome.Change... changes) {
         long last = 0;
         for (FeedOutcome.Change change : changes) {
             last = Math.max(last, change.revision());
         }
-        OptionalLong since = whole ? OptionalLong.empty() : OptionalLong.of(last - 1);
+        OptionalLong since = isFullReading ? OptionalLong.empty() : OptionalLong.of(last - 1);
         return deployment.applyServerRows(
                 new FeedOutcome.Rows(List.of(changes), last), since, removalDueMs);
     }
 
-    private static ServerUpdates updateMessage(ServerUpdate word) {
-        return new ServerUpdates(word.revision() - 1, word.revision(), 0, List.of(word));
+    private static ServerUpdates updateMessage(ServerUpdate update) {
+        return new ServerUpdates(update.revision() - 1, update.revision(), 0, List.of(update));
     }
 
     private String servers() {
@@ -114,7 +117,10 @@
                 .collect(Collectors.joining(" "));
     }
 
-    /** A route or key was denied by a router that its peers had told of a newer catalog. */
+    /**
+     * A route or key was rejected as unknown by a router whose peers had already reported a newer
+     * catalog.
+     */
     @Nested
     class NewerCatalogAtPeers {
         private static final long FRESH_MS = DeploymentState.FRESH_MS;
@@ -159,8 +165,8 @@
     }
 
     /**
-     * A caller's request waits for an address where nothing listens, or a router stops hearing of
-     * servers: another writer put a row into the table, or over a server's own row.
+     * Another writer adds a row to the table, or overwrites a server's own row: requests wait for
+     * an address without a listener, or the router receives no more updates of servers.
      */
     @Nested
     class RowsOfAnotherWriter {
@@ -220,8 +226,8 @@
     }
 
     /**
-     * A server that has left is sent requests for good, or one that lives is left: a router that
-     * reads nothing itself is not told of a removal, or not that it is doubted.
+     * A router that does not read the store is not notified of a removal, or not of its delay:
+     * requests go to a server that has left for good, or a running server is no longer used.
      */
     @Nested
     class RepliesToPeers {
@@ -291,8 +297,8 @@
     }
 
     /**
-     * A request is sent to where a server was: it started again under its id, at another address,
-     * and a peer that the store turns away still tells of the life before.
+     * A server restarts under its id at another address, and a peer that the store refuses still
+     * reports its previous incarnation: requests are sent to the old address.
      */
     @Nested
     class RestartedServers {
--- a/masticweir/src/test/java/org/masticweir/relay/FakePeers.java
+++ b/masticweir/src/test/java/org/masticweir/relay/FakePeers.java
@@ -7,15 +7,15 @@
 import org.masticweir.peer.PeerMessage;
 import org.masticweir.peer.PeerSender;
 
-/** Peers that reply when a test says so. */
+/** Fake peers whose replies a test completes. */
 final class FakePeers implements PeerSender {
-    /** The peers that were asked, in order. */
+    /** The recipients of requests, in order. */
     final List<RouterId> recipients = new ArrayList<>();
 
-    /** What they were asked. */
+    /** The requests. */
     final List<PeerMessage> requests = new ArrayList<>();
 
-    /** Their replies. */
+    /** The replies, to be completed by the test. */
     final List<CompletableFuture<PeerMessage>> replies = new ArrayList<>();
 
     @Override
@@ -24,10 +24,10 @@
     }
 
     @Override
-    public CompletableFuture<PeerMessage> ask(RouterId to, PeerMessage question, long timeoutMs) {
+    public CompletableFuture<PeerMessage> ask(RouterId to, PeerMessage request, long timeoutMs) {
         CompletableFuture<PeerMessage> reply = new CompletableFuture<>();
         recipients.add(to);
-        requests.add(question);
+        requests.add(request);
         replies.add(reply);
         return reply;
     }
--- a/masticweir/src/test/java/org/masticweir/relay/FakeStore.java
+++ b/masticweir/src/test/java/org/masticweir/relay/FakeStore.java
@@ -13,7 +13,7 @@
 import org.masticweir.store.RowKey;
 import org.masticweir.time.ManualScheduler;
 
-/** The platform's store: rows, their history, and calls that wait for a change. */
+/** Fake of the platform's store: rows, their history, and long polls for changes. */
 final class FakeStore {
     private static final long DEFAULT_LATENCY_MS = 4;
 
@@ -21,7 +21,7 @@
 
     long calls;
 
-    /** How long each answer takes once there is something to say, in ms. */
+    /** Latency of each answer once it is available, in ms. */
     long latencyMs = DEFAULT_LATENCY_MS;
 
     private final Map<RowKey, FeedOutcome.Change> rows =
@@ -35,7 +35,7 @@
         this.scheduler = scheduler;
     }
 
-    /** A call that waits for a change. */
+    /** A long poll for changes. */
     private record Poll(
             SimulatedFleet.Router router,
             String table,
@@ -58,7 +58,7 @@
         change(new DeploymentStateTest.TestFormat().catalogRow(), Optional.of(text));
     }
 
-    /** Drops what has changed so far. */
+    /** Discards the history of all changes so far. */
     void discardHistory() {
         oldest = ++revision;
         history.clear();
--- a/masticweir/src/test/java/org/masticweir/relay/MessageSize.java
+++ b/masticweir/src/test/java/org/masticweir/relay/MessageSize.java
@@ -8,7 +8,7 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 
-/** How long messages between routers are on their links. */
+/** Encoded lengths of messages between routers. */
 final class MessageSize {
     private static final List<MessageCodec<?>> CODECS = RelayMessages.codecs();
 
--- a/masticweir/src/test/java/org/masticweir/relay/RelaySettingsTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/RelaySettingsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.masticweir.error.MasticweirException;
 
-/** Which settings of a router are read, and what the others are answered. */
+/** Valid settings of a router, and the error messages for invalid ones. */
 class RelaySettingsTest {
     private static RelaySettings parse(String share, String allowance, String graceS) {
         return RelaySettings.parse(
@@ -28,8 +28,8 @@
     }
 
     /**
-     * No caller is served: a deployment whose budgets the platform has scaled hands its routers a
-     * number with a fraction, each router takes it for an error and ends, again at each start.
+     * A platform that scales retry budgets writes an allowance with a fraction. Routers rejected it
+     * as invalid and ended at each start, so no caller was served.
      */
     @Nested
     class Numbers {
--- a/masticweir/src/test/java/org/masticweir/relay/RelayShutdownTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/RelayShutdownTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 import org.masticweir.time.ManualScheduler;
 
-/** How a router uses its time of grace. */
+/** Shutdown of a router within its grace period. */
 class RelayShutdownTest {
     private static final long GRACE_MS = 8_000;
 
-    /** Streams still at work in the last sixth of the grace may be cut off, but none before. */
+    /** Streams may be cut off in the last sixth of the grace period, but not earlier. */
     private static final long LAST_SIXTH_MS = GRACE_MS - GRACE_MS / 6;
 
     private final ManualScheduler control = new ManualScheduler();
@@ -60,7 +60,10 @@
         assertEquals(0, endedAtMs);
     }
 
-    /** Callers are refused over connections that they had kept, though others have routers free. */
+    /**
+     * Callers were refused on connections that they had kept open, although other routers could
+     * have served them.
+     */
     @Test
     void closesIdleConnectionsOnceTheBalancerSendsNewOnesElsewhere() {
         shutdown.start(0);
@@ -69,7 +72,7 @@
         assertTrue(idleClosedAtMs < DrainingAdmission.STREAM_ADMISSION_MS, "at " + idleClosedAtMs);
     }
 
-    /** A caller sees its connection break, as the process ended with its request under way. */
+    /** The process ended with a request in flight, and its caller's connection broke. */
     @Test
     void endsRequestsWithAnAnswerBeforeTheProcessEnds() {
         intake.requestStarted();
@@ -80,7 +83,7 @@
         assertFalse(intake.admits(1, endedAtMs));
     }
 
-    /** The process ends over requests that a busy thread was about to answer. */
+    /** The process ended before a busy thread could write the answers of the last requests. */
     @Test
     void waitsForAnswersOnALateThread() {
         answerDelayMs = 250;
@@ -104,8 +107,8 @@
     }
 
     /**
-     * A router that was told to leave while it started counts its grace from its start, and is
-     * killed with requests under way that it had time for by its own count.
+     * A router that received the shutdown request during its start counted the grace period from
+     * the end of the start. It was killed with requests in flight that it expected to finish.
      */
     @Test
     void gracePeriodBeginsAtTheShutdownRequest() {
--- a/masticweir/src/test/java/org/masticweir/relay/ShutdownSchedulePropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ShutdownSchedulePropertyTest.java
@@ -20,21 +20,26 @@
 import org.junit.jupiter.api.Test;
 import org.masticweir.time.ManualScheduler;
 
-/** Routers that leave, under random requests and orders that are heard late. */
+/** Shutdown of a router under random requests, with shutdown requests that are received late. */
 class ShutdownSchedulePropertyTest {
     private static final long GRACE_MS = 8_000;
 
-    /** Time after the order until which the platform excuses a stream that is broken off. */
+    /**
+     * Time after the shutdown request until which the platform tolerates a stream that is cut off.
+     */
     private static final long TOLERATED_MS = 3_000;
 
-    /** Longest time for which an order waits for the router, in ms; a part of a start. */
+    /**
+     * Longest delay until the router receives the shutdown request, in ms; part of the time of a
+     * startup.
+     */
     private static final int MAX_DELAY_MS = 2_000;
 
     /**
      * A request.
      *
-     * @param expectedMs what a stream like it took; ignored if it has a timeout
-     * @param takesMs how long it takes; longer than its timeout is cut to it
+     * @param expectedMs expected duration, as of a similar stream; ignored if it has a timeout
+     * @param takesMs duration; limited to the timeout
      */
     record Arrival(long atMs, boolean stream, long timeoutMs, long expectedMs, long takesMs) {
         long endsMs() {
@@ -53,7 +58,9 @@
                 .as(Arrival::new);
     }
 
-    /** One router from the order to its end; time counts from the order. */
+    /**
+     * One router from the shutdown request to its end; time is relative to the shutdown request.
+     */
     private static final class Simulation {
         private final ManualScheduler control = new ManualScheduler();
         private final DrainingAdmission intake = new DrainingAdmission();
@@ -111,7 +118,7 @@
         assertEquals(Set.of(), simulation.inFlight);
     }
 
-    /** A stream that is broken off has an excuse; any other request is never broken off. */
+    /** A stream that arrived early may be cut off; any other request never is. */
     @Property(tries = 500)
     void onlyEarlyStreamsAreCutOff(
             @ForAll List<@From("arrivals") Arrival> arrivals,
@@ -120,11 +127,11 @@
         simulation.run(arrivals, requestedMs);
         for (Arrival broken : simulation.cutOff) {
             assertTrue(broken.stream(), broken + " had a timeout");
-            assertTrue(broken.atMs() <= TOLERATED_MS, broken + " came late");
+            assertTrue(broken.atMs() <= TOLERATED_MS, broken + " arrived late");
         }
     }
 
-    /** A booking is broken off in the millisecond in which its time would have ended. */
+    /** A booking was cut off in the millisecond in which its timeout would have expired. */
     @Test
     void requestWhoseTimeoutMeetsTheEndIsRefused() {
         Simulation simulation = new Simulation();
--- a/masticweir/src/test/java/org/masticweir/relay/SimulatedFleet.java
+++ b/masticweir/src/test/java/org/masticweir/relay/SimulatedFleet.java
@@ -31,8 +31,9 @@
 import org.masticweir.time.ManualScheduler;
 
 /**
- * Routers that read a store together, in one process and on a clock of its own: the decisions and
- * messages are the product's, links and store are played here with the faults that a test sets.
+ * Simulation of routers that share the reading of a store, in one process and with a manual clock:
+ * the routers' decisions and messages are those of the production code; links and store are fakes
+ * with the faults that a test sets.
  */
 final class SimulatedFleet {
     private static final long LINK_MS = 1;
@@ -40,10 +41,10 @@
     private static final long WAIT_MS = 3_000;
     private static final long GRACE_MS = 700;
 
-    /** Longest message that a link carries. */
+    /** Longest message that a link delivers. */
     private static final long MAX_FRAME_BYTES = 1 << 20;
 
-    /** What a call of a router to the store meets. */
+    /** Fault of a router's calls to the store. */
     enum StoreFault {
         NONE,
         REFUSED,
@@ -54,7 +55,7 @@
     final FakeStore store = new FakeStore(scheduler);
     final Map<RouterId, Router> routers = new LinkedHashMap<>();
 
-    /** Links that carry nothing, from the first router to the second. */
+    /** Whether the link from the first router to the second is cut. */
     BiPredicate<RouterId, RouterId> isCut = (from, to) -> false;
 
     long messages;
@@ -68,8 +69,8 @@
     /**
      * Creates a fleet that has just started.
      *
-     * @param bytesPerMs what the link of each router carries to its peers
-     * @param catalog the first catalog's text
+     * @param bytesPerMs bandwidth of the link of each router to its peers
+     * @param catalog text of the first catalog
      */
     SimulatedFleet(int count, int domains, double bytesPerMs, String catalog) {
         this.bytesPerMs = bytesPerMs;
@@ -102,7 +103,7 @@
         return routers.values().stream().filter(r -> r.at.domain().value().equals(domain)).toList();
     }
 
-    /** Returns the routers of {@code domain} in the order in which they are to read. */
+    /** Returns the routers of {@code domain} in the order of their ranks for reading the store. */
     List<Router> byRank(String domain) {
         List<Router> ranked = new ArrayList<>(domain(domain));
         ranked.sort((a, b) -> Long.compare(weight(b), weight(a)));
@@ -113,18 +114,25 @@
         return Rendezvous.weight(ReadingShare.DUTY, router.at.id());
     }
 
-    /** Returns what all routers have sent to their peers, in bytes. */
+    /** Returns the total length of the messages that all routers have sent to peers, in bytes. */
     long sentBytes() {
         return routers.values().stream().mapToLong(r -> r.uplink.sentBytes()).sum();
     }
 
-    /** Returns how many routers hold {@code version} of the catalog in {@code ms} from now. */
+    /**
+     * Runs for {@code ms} and returns the number of routers that then hold {@code version} of the
+     * catalog.
+     */
     long countHoldersAfter(long version, long ms) {
         runFor(ms);
         return routers.values().stream().filter(r -> r.catalogVersion() == version).count();
     }
 
-    /** Runs until all of {@code waiting} see {@code port} of server e1; returns how long, in ms. */
+    /**
+     * Runs until all routers of {@code observers} have received {@code port} as the port of server
+     * e1; returns the time that passed, in ms, or {@code Long.MAX_VALUE} if it would exceed {@code
+     * limitMs}.
+     */
     long timeUntilAllSee(List<Router> observers, String port, long limitMs) {
         long startMs = nowMs();
         while (!observers.stream().allMatch(r -> r.seenPort().equals(port))) {
@@ -136,7 +144,7 @@
         return nowMs() - startMs;
     }
 
-    /** One router: its beliefs, its part in reading, and what it tells. */
+    /** One router: its view of the deployment, its role in reading, and its messages. */
     final class Router implements PeerSender {
         final RouterInfo at;
         final KnownRouters knownRouters;
@@ -230,12 +238,12 @@
                     });
         }
 
-        /** Ends without a word; its links stay silent, as when power is lost. */
+        /** Stops the router but closes no link, as at a loss of power. */
         void stopSilently() {
             running = false;
         }
 
-        /** Ends, and the links to it close. */
+        /** Stops the router and closes the links to it. */
         void stopAndCloseLinks() {
             running = false;
             routers.values().forEach(r -> r.reading.recordLinkClosed(at.id()));
@@ -245,7 +253,7 @@
             return reading.role();
         }
 
-        /** Returns the port at which it believes server e1 to be; nothing if it knows none. */
+        /** Returns the port of server e1 in this router's view; empty if it has no such server. */
         String seenPort() {
             return view.servers().values().stream()
                     .filter(s -> s.id().value().equals("e1"))
@@ -280,14 +288,14 @@
 
         private void receive(RouterId from, PeerMessage message, Consumer<PeerMessage> back) {
             Reply reply = new FakeReply(back);
-            if (message instanceof StoreStatus pulse) {
-                sharing.handleStatus(from, pulse, reply);
-            } else if (message instanceof ServerUpdates news) {
-                sharing.handleUpdates(from, news);
-            } else if (message instanceof ServersRequest ask) {
-                sharing.handleRequest(ask, reply);
-            } else if (message instanceof CatalogRequest ask) {
-                catalogs.handleRequest(ask, reply);
+            if (message instanceof StoreStatus status) {
+                sharing.handleStatus(from, status, reply);
+            } else if (message instanceof ServerUpdates updates) {
+                sharing.handleUpdates(from, updates);
+            } else if (message instanceof ServersRequest request) {
+                sharing.handleRequest(request, reply);
+            } else if (message instanceof CatalogRequest request) {
+                catalogs.handleRequest(request, reply);
             }
         }
     }
@@ -319,7 +327,7 @@
                 });
     }
 
-    /** Hands an answer back. */
+    /** Passes the reply to a consumer. */
     private record FakeReply(Consumer<PeerMessage> back) implements Reply {
         @Override
         public boolean send(PeerMessage message) {
--- a/masticweir/src/test/java/org/masticweir/relay/SimulatedFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/SimulatedFleetTest.java
@@ -14,16 +14,18 @@
 import org.masticweir.relay.SimulatedFleet.StoreFault;
 
 /**
- * 95 routers in six domains follow one store, and keep its bounds while readers fail.
+ * 95 routers in six domains follow one store, and distribute changes within the bound while readers
+ * fail.
  *
- * <p>The bound of a change is two seconds from the store's word, the shortest that deployments ask.
+ * <p>A change must be in force two seconds after the store reports it, the shortest bound that
+ * deployments require.
  */
 class SimulatedFleetTest {
     private static final int ROUTERS = 95;
     private static final int DOMAINS = 6;
     private static final long BOUND_MS = 2_000;
 
-    /** Long enough for pulses to have settled who reads. */
+    /** Time after which the status messages have settled which routers read the store. */
     private static final long SETTLED_MS = 6_000;
 
     private static final long MEASURED_MS = 6_000;
@@ -46,13 +48,18 @@
         assertTrue(tookMs <= BOUND_MS, "in force after " + tookMs + " ms");
     }
 
-    /** Server e1 moves; its new address must be believed everywhere in time. */
+    /**
+     * Changes the address of server e1 and asserts that all of {@code routers} receive it in time.
+     */
     private void assertMoveReachesAll(List<Router> routers) {
         fleet.store.put("e1", "82");
         assertInTime(fleet.timeUntilAllSee(routers, "82", BOUND_MS));
     }
 
-    /** Calls to the store grew with routers times changes, and with them the price of each. */
+    /**
+     * The number of calls to the store was proportional to routers times changes, and the cost of
+     * each call grew with it.
+     */
     @Nested
     class SettledFleet {
         @Test
@@ -85,8 +92,8 @@
         }
 
         /**
-         * Each router asked each other one for a sign of life each second, 389 at 390 routers. Now
-         * most of what it says stays in its domain.
+         * Each router polled every other one each second: 389 requests at 390 routers. Most status
+         * messages now stay within the domain.
          */
         @ParameterizedTest
         @CsvSource({"8, 4, 20", "61, 4, 50", "95, 6, 60", "390, 9, 180"})
@@ -109,8 +116,8 @@
     }
 
     /**
-     * A leaving server gets work, or a key that was taken away still opens: the readers of a domain
-     * failed just before the change, and the others rely on them.
+     * The readers of a domain fail just before a change, while the other routers rely on them: a
+     * leaving server receives requests, or a revoked key is still accepted.
      */
     @Nested
     class FailingReaders {
@@ -127,9 +134,9 @@
 
         @Test
         void bothLosePowerWhileTheOtherDomainsAreCutOff() {
-            List<Router> home = ranked();
-            fleet.isCut = (from, to) -> isOf(home, from) != isOf(home, to);
-            home.subList(0, 2).forEach(Router::stopSilently);
+            List<Router> ranked = ranked();
+            fleet.isCut = (from, to) -> isOf(ranked, from) != isOf(ranked, to);
+            ranked.subList(0, 2).forEach(Router::stopSilently);
             assertMoveReachesAll(running());
         }
 
@@ -192,7 +199,10 @@
         }
     }
 
-    /** The store answers late; calls that found no change ended by their time limit as lost. */
+    /**
+     * The store answers late. Long polls without a change ended by their timeout and were counted
+     * as a lost store.
+     */
     @Nested
     class SlowStore {
         private static final long SLOW_FOR_MS = 30_000;
@@ -206,7 +216,9 @@
             double calls = (fleet.store.calls - before) * 1_000.0 / SLOW_FOR_MS;
             assertTrue(calls <= 2 * DOMAINS, calls + " calls a second");
             assertEquals(
-                    ROUTERS, all().stream().filter(r -> r.view.isCatalogFresh()).count(), "sure");
+                    ROUTERS,
+                    all().stream().filter(r -> r.view.isCatalogFresh()).count(),
+                    "fresh catalogs");
         }
 
         @ParameterizedTest
@@ -214,7 +226,10 @@
         void delaysChangesOnlyByItsLatency(long answerMs) {
             slowDown(answerMs);
             fleet.store.catalog(2);
-            assertEquals(ROUTERS, fleet.countHoldersAfter(2, answerMs + BOUND_MS), "hold it");
+            assertEquals(
+                    ROUTERS,
+                    fleet.countHoldersAfter(2, answerMs + BOUND_MS),
+                    "routers that hold it");
         }
 
         private void slowDown(long answerMs) {
@@ -224,7 +239,7 @@
         }
     }
 
-    /** A router that is alone has only itself to rely on. */
+    /** A router without links to its peers must read the store itself. */
     @Nested
     class IsolatedRouter {
         @Test
@@ -238,7 +253,7 @@
     }
 
     /**
-     * Words between routers are lost, and a server that has left would be sent requests for good.
+     * Messages between routers are lost; a server that has left would receive requests for good.
      */
     @Nested
     class LostMessages {
@@ -267,7 +282,10 @@
         }
     }
 
-    /** Entries that lapse while the store is away come back; their servers must not be left. */
+    /**
+     * Entries expire while the store is unavailable and are written again afterwards; their servers
+     * must stay in use.
+     */
     @Nested
     class UnavailableStore {
         @Test
@@ -278,12 +296,13 @@
             fleet.store.remove("e1");
             all().forEach(r -> r.fault = StoreFault.NONE);
             fleet.runFor(1_500);
-            assertTrue(all().stream().allMatch(r -> r.seenPort().equals("81")), "left too soon");
+            assertTrue(
+                    all().stream().allMatch(r -> r.seenPort().equals("81")), "removed too early");
             fleet.store.put("e1", "81");
             fleet.runFor(4_000);
             assertTrue(
                     all().stream().allMatch(r -> r.seenPort().equals("81")),
-                    "lost after its return");
+                    "removed after its return");
         }
 
         @Test
--- a/masticweir/src/test/java/org/masticweir/relay/SimulatedUplink.java
+++ b/masticweir/src/test/java/org/masticweir/relay/SimulatedUplink.java
@@ -8,10 +8,10 @@
 import org.masticweir.time.ManualScheduler;
 
 /**
- * What one router has to send on a link of limited bandwidth; its peers take turns.
+ * Simulates the outgoing link of one router with limited bandwidth, which its peers share in turn.
  *
- * <p>Connections that share a link slow each other down, so that many long messages sent at one
- * moment all come late.
+ * <p>Connections that share a link slow each other down, so many long messages sent at the same
+ * moment all arrive late.
  */
 final class SimulatedUplink {
     private static final int CHUNK_BYTES = 16 << 10;
@@ -28,12 +28,12 @@
         this.bytesPerMs = bytesPerMs;
     }
 
-    /** Returns what was given to send so far, in bytes. */
+    /** Returns the total length of the messages sent so far, in bytes. */
     long sentBytes() {
         return sentBytes;
     }
 
-    /** A message on its way. */
+    /** A message in transit. */
     private static final class Transfer {
         private final Runnable arrival;
         private long remainingBytes;
--- a/masticweir/src/test/java/org/masticweir/relay/ThreadDelaysTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ThreadDelaysTest.java
@@ -10,7 +10,7 @@
 import org.masticweir.metrics.MetricName;
 import org.masticweir.time.ManualScheduler;
 
-/** How late the threads of a router are. */
+/** Measured scheduling delays of a router's threads. */
 class ThreadDelaysTest {
     private final ManualScheduler control = new ManualScheduler();
     private final Queue<Runnable> traffic = new ArrayDeque<>();
--- a/masticweir/src/test/java/org/masticweir/relay/UpdateProgressTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/UpdateProgressTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Whether words between routers are missing, when they are lost, doubled or reordered. */
+/** Detection of missing updates when messages between routers are lost, duplicated or reordered. */
 class UpdateProgressTest {
     private final UpdateProgress progress = new UpdateProgress();
 
