--- a/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
@@ -44,7 +44,7 @@
 import org.masticweir.quarantine.Quarantine;
 import org.masticweir.quarantine.QuarantineStore;
 import org.masticweir.quarantine.SharedQuarantine;
-import org.masticweir.relay.RelayMessages.RouterAt;
+import org.masticweir.relay.RelayMessages.RouterInfo;
 import org.masticweir.time.Clock;
 import org.xnio.OptionMap;
 import org.xnio.Options;
@@ -53,39 +53,51 @@
 import org.xnio.XnioWorker;
 
 /**
- * One running router that passes requests on; created by {@link #start}. Thread-safe.
+ * A running router that passes requests on to servers; created by {@link #start}. Thread-safe.
  *
- * <p>It joins the parts and decides nothing itself.
+ * <p>Creates and connects the components, and contains no logic of its own.
  */
 public final class RelayRouter implements AutoCloseable {
     private static final Logger LOG = LogManager.getLogger(RelayRouter.class);
 
-    /** Time for a connection to a server, in ms: hundreds of times a way, and a lost packet. */
-    private static final long CONNECT_MS = 300;
+    /**
+     * Timeout for a connection to a server, in ms: hundreds of times the network latency, plus one
+     * lost packet.
+     */
+    private static final long CONNECT_TIMEOUT_MS = 300;
 
     private static final int BUFFER_BYTES = 16 * 1024;
 
-    /** A change of the catalog must be in force within two seconds: it is waited for. */
+    /**
+     * A catalog change must be in force within two seconds, so the call waits for changes at the
+     * store.
+     */
     private static final FeedPace CATALOG_PACE = FeedPace.of(3_000, 700, 50);
 
-    /** A server that leaves is passed over within two seconds; changes in series cost one call. */
+    /**
+     * A leaving server receives no new requests within two seconds; a series of changes costs one
+     * call.
+     */
     private static final FeedPace SERVER_PACE = FeedPace.of(3_000, 700, 700);
 
     private static final long TICK_MS = 100;
 
     private static final int MAX_QUEUED_BYTES = 4 << 20;
-    private static final int LINK_CONNECT_MS = 500;
+    private static final int LINK_CONNECT_TIMEOUT_MS = 500;
     private static final int LINK_BACKOFF_MIN_MS = 50;
 
-    /** Longest pause before a lost link is dialled again, in ms: a restart must be met soon. */
+    /**
+     * Longest delay before a reconnection of a lost link, in ms: a router that has restarted must
+     * be reconnected soon.
+     */
     private static final int LINK_BACKOFF_MAX_MS = 500;
 
-    private static final int LINK_SILENCE_MS = 2_000;
+    private static final int LINK_SILENCE_TIMEOUT_MS = 2_000;
 
     private final RelaySettings settings;
     private final Clock clock;
     private final PlatformPort platform;
-    private final ControlThread control = new ControlThread();
+    private final ControlExecutor control = new ControlExecutor();
     private final XnioWorker worker;
     private final XnioIoThread thread;
     private final HttpCaller calls;
@@ -95,24 +107,24 @@
     private final ServerNotices serverNotices = ServerNotices.create();
     private final MetricRegistry metrics = new MetricRegistry();
     private final DrainingAdmission intake = new DrainingAdmission();
-    private final KeepAliveConnections kept = new KeepAliveConnections();
-    private final ServiceRetryBudgets repeats;
+    private final KeepAliveConnections keepAlive = new KeepAliveConnections();
+    private final ServiceRetryBudgets retryBudgets;
     private final PeerLinks links;
     private final PeerDirectory directory;
-    private final Deployment deployment;
+    private final DeploymentState deployment;
     private final StoreReading reading;
     private final CatalogSharing catalogs;
     private final StoreSharing sharing;
     private final TableFollower catalogFollower;
     private final TableFollower serverFollower;
-    private final QuarantineStore quarantineRows;
+    private final QuarantineStore quarantineStore;
     private final SharedQuarantine quarantine;
     private final ServerLimits serverLimits = ServerLimits.create();
     private final SharedPermits permits;
     private final SharedLimits limits;
     private final AnswerMetadataRecorder notices;
     private final LossInquiry losses;
-    private final InFlightRequests underWay;
+    private final InFlightRequests inFlight;
     private final PeerExchange peers;
     private final RelayShutdown shutdown;
     private final RelayPorts ports;
@@ -126,25 +138,25 @@
         this.settings = checkNotNull(settings, "settings");
         this.clock = checkNotNull(clock, "clock");
         this.platform = checkNotNull(platform, "platform");
-        repeats = ServiceRetryBudgets.of(settings.retryShare(), settings.retryAllowance());
+        retryBudgets = ServiceRetryBudgets.of(settings.retryShare(), settings.retryAllowance());
         worker = newWorker();
         thread = worker.getIoThread();
         calls = HttpCaller.create(worker, HttpCallerLimits.defaults());
         store = platform.store(settings.store(), calls);
         links = openLinks();
         deployment = newDeployment();
-        RouterAt self = new RouterAt(settings.router(), settings.domain(), settings.peers());
+        RouterInfo self = new RouterInfo(settings.router(), settings.domain(), settings.peers());
         directory = new PeerDirectory(store, self, control);
         reading = new StoreReading(ReadingShare.of(settings.router()), clock);
         KnownRouters routers = new KnownRouters(self);
         catalogs = new CatalogSharing(links, deployment, control, clock, metrics);
         sharing =
                 new StoreSharing(
-                        links, routers, deployment, catalogs, reading, this::toldUpTo, control);
+                        links, routers, deployment, catalogs, reading, this::onUpdates, control);
         catalogFollower = catalogFollower();
         serverFollower = serverFollower();
-        UseSharing uses = useSharing();
-        quarantineRows = new QuarantineStore(store, control, clock, settings.quarantineMs());
+        LoadSharing loadSharing = loadSharing();
+        quarantineStore = new QuarantineStore(store, control, clock, settings.quarantineMs());
         quarantine = sharedQuarantine();
         permits = new SharedPermits(settings.router(), links, clock, thread, metrics);
         limits = sharedLimits();
@@ -152,9 +164,8 @@
                 new AnswerMetadataRecorder(
                         serverNotices, limits, platform.protocol(), clock, metrics);
         losses = lossInquiry();
-        underWay = new InFlightRequests(quarantine);
-        quarantine.onChange(
-                (c, change) -> thread.execute(() -> underWay.onQuarantineChange(c, change)));
+        inFlight = new InFlightRequests(quarantine);
+        quarantine.onChange((c, q) -> thread.execute(() -> inFlight.onQuarantineChange(c, q)));
         peers =
                 new PeerExchange(
                         links,
@@ -162,7 +173,7 @@
                         routers,
                         control,
                         directory,
-                        uses,
+                        loadSharing,
                         quarantine,
                         new LimitExchange(limits, permits, thread, links),
                         sharing,
@@ -174,13 +185,13 @@
                 RelayPorts.create(
                         settings,
                         worker,
-                        new RelayHandler(context(uses), intake, kept),
+                        new RelayHandler(context(loadSharing), intake, keepAlive),
                         platform.protocol().readyPath(),
                         () -> deployment.isReady() && !intake.isDraining(),
                         metrics);
         callersPort =
                 new CallersPort(
-                        listener, ports, settings.callers(), this::knowsEnough, control, clock);
+                        listener, ports, settings.callers(), this::canServeCallers, control, clock);
         delays = new ThreadDelays(control, thread, clock, metrics);
     }
 
@@ -206,21 +217,24 @@
     }
 
     private void open() {
-        ports.openOthers();
+        ports.openManagement();
         peers.start();
         links.start();
         control.execute(() -> reading.follow(catalogFollower, serverFollower));
-        directory.join(peers::learn);
-        quarantineRows.load(quarantine::restore);
+        directory.join(peers::addRouter);
+        quarantineStore.load(quarantine::restore);
         control.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         delays.start();
         callersPort.openWhenReady();
         LOG.info("router: {} in {} has started", settings.router(), settings.domain());
     }
 
-    /** Without the records, what ended servers before the start would be sent to more of them. */
-    private boolean knowsEnough() {
-        return deployment.isReady() && quarantineRows.isLoaded();
+    /**
+     * Returns whether the router can serve callers. Without the quarantine records, requests that
+     * ended servers before the start would be sent to further servers.
+     */
+    private boolean canServeCallers() {
+        return deployment.isReady() && quarantineStore.isLoaded();
     }
 
     private void tick() {
@@ -229,8 +243,8 @@
         catalogs.tick();
     }
 
-    private Deployment newDeployment() {
-        return new Deployment(
+    private DeploymentState newDeployment() {
+        return new DeploymentState(
                 platform.deploymentFormat(),
                 clock,
                 new UnreadableRows(metrics.counter(MetricName.of("rows_unreadable_total"))),
@@ -243,7 +257,7 @@
                 store,
                 CATALOG_PACE,
                 (rows, since, dueMs) -> {
-                    if (deployment.catalogRows(rows)) {
+                    if (deployment.applyCatalogRows(rows)) {
                         sharing.catalogChanged();
                     }
                 },
@@ -258,18 +272,18 @@
                 store,
                 SERVER_PACE,
                 (rows, since, dueMs) ->
-                        sharing.serversChanged(deployment.serverRows(rows, since, dueMs)),
+                        sharing.serversChanged(deployment.applyServerRows(rows, since, dueMs)),
                 reading::role,
                 control,
                 clock);
     }
 
-    private UseSharing useSharing() {
-        return new UseSharing(
+    private LoadSharing loadSharing() {
+        return new LoadSharing(
                 thread,
                 loads,
                 health,
-                life -> view.server(life),
+                incarnation -> view.server(incarnation),
                 clock,
                 directory::known,
                 links::send);
@@ -281,8 +295,8 @@
                 clock,
                 metrics,
                 control,
-                news -> directory.known().forEach(p -> links.send(p, news)),
-                quarantineRows::save);
+                update -> directory.known().forEach(p -> links.send(p, update)),
+                quarantineStore::save);
     }
 
     private SharedLimits sharedLimits() {
@@ -291,7 +305,7 @@
                 permits,
                 clock,
                 metrics,
-                news -> directory.known().forEach(p -> links.send(p, news)));
+                update -> directory.known().forEach(p -> links.send(p, update)));
     }
 
     private LossInquiry lossInquiry() {
@@ -302,15 +316,15 @@
     private RelayShutdown relayShutdown() {
         return new RelayShutdown(
                 intake,
-                () -> thread.execute(kept::closeAll),
-                () -> thread.execute(underWay::endAll),
+                () -> thread.execute(keepAlive::closeAll),
+                () -> thread.execute(inFlight::endAll),
                 control,
                 clock,
                 settings.graceMs());
     }
 
-    private void toldUpTo(long revision) {
-        reading.told(serverFollower, revision);
+    private void onUpdates(long revision) {
+        reading.recordReceived(serverFollower, revision);
     }
 
     private void publish(RelayView next) {
@@ -329,7 +343,7 @@
                 });
     }
 
-    private RelayContext context(UseSharing uses) {
+    private RelayContext context(LoadSharing loadSharing) {
         SplittableRandom random = new SplittableRandom();
         return new RelayContext(
                 clock,
@@ -343,20 +357,20 @@
                 health,
                 ServerSelector.create(
                         loads, health, serverNotices, serverLimits, settings.domain(), random),
-                repeats,
-                new SharedRetryPermits(repeats, permits, clock),
+                retryBudgets,
+                new SharedRetryPermits(retryBudgets, permits, clock),
                 limits,
                 notices,
                 quarantine,
                 losses,
-                underWay,
+                inFlight,
                 WaitQueue.create(),
                 SilenceTimeouts.create(),
                 StreamDurationEstimator.create(),
                 random,
                 RelayMetrics.of(metrics, clock),
-                CONNECT_MS,
-                uses::changed);
+                CONNECT_TIMEOUT_MS,
+                loadSharing::scheduleReport);
     }
 
     private PeerLinks openLinks() {
@@ -364,11 +378,11 @@
         LinkSettings link =
                 new LinkSettings(
                         settings.peers(),
-                        LINK_CONNECT_MS,
+                        LINK_CONNECT_TIMEOUT_MS,
                         MAX_QUEUED_BYTES,
                         LINK_BACKOFF_MIN_MS,
                         LINK_BACKOFF_MAX_MS,
-                        LINK_SILENCE_MS,
+                        LINK_SILENCE_TIMEOUT_MS,
                         incarnation);
         return PeerLinks.open(
                 link,
@@ -377,7 +391,10 @@
                 clock);
     }
 
-    /** Adds {@code n} to a counter of the program around this router, on the same metrics page. */
+    /**
+     * Adds {@code n} to a counter that the surrounding program exposes on this router's metrics
+     * page.
+     */
     public void incrementCounter(String family, long n) {
         metrics.counter(MetricName.of(family)).inc(n);
     }
@@ -388,36 +405,39 @@
     }
 
     /**
-     * Completes when callers are served. Connections made before that wait, but for the moment in
-     * which the router takes over their port: they are refused then.
+     * Completes when callers are served. Earlier connections wait until then; only connections
+     * attempted at the moment when the router takes over the port are refused.
      */
     public CompletableFuture<Void> servingFuture() {
         return callersPort.opened();
     }
 
     /**
-     * Leaves within the time of grace, and serves what can end in it; the future completes when
-     * {@link #close} may.
+     * Shuts down within the grace period, and serves all requests that can end within it; when the
+     * future completes, {@link #close} may be called.
      *
-     * @param sinceMs when the order to leave came, by the router's clock: it may have waited for
-     *     the start
+     * @param sinceMs time of the shutdown request by the router's clock; it may precede the start
+     *     of the router
      */
     public CompletableFuture<Void> startShutdown(long sinceMs) {
         return shutdown.start(sinceMs);
     }
 
-    /** Completes as the future that {@link #startShutdown} returns does; starts nothing. */
+    /**
+     * Returns a future that completes with that of {@link #startShutdown}; does not start a
+     * shutdown.
+     */
     public CompletableFuture<Void> shutdownFuture() {
         return shutdown.done();
     }
 
     /**
-     * Takes changed settings: the level of the log and the budget of repeats. Addresses stay as
-     * they are until the process starts again; no request is touched.
+     * Applies changed settings: the log level and the retry budget. Addresses change only at a
+     * restart of the process; requests are not affected.
      */
     public void reload(RelaySettings changed) {
         LogSetup.level(Level.valueOf(changed.logLevel().name()));
-        thread.execute(() -> repeats.update(changed.retryShare(), changed.retryAllowance()));
+        thread.execute(() -> retryBudgets.update(changed.retryShare(), changed.retryAllowance()));
         LOG.info("router: settings reloaded, log level {}", changed.logLevel());
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/RelaySettings.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelaySettings.java
@@ -22,18 +22,18 @@
 import org.masticweir.settings.ValueRule;
 
 /**
- * Settings of a router that passes requests on; immutable.
+ * Settings of a router that passes requests on to servers; immutable.
  *
  * @param callers address that callers connect to
- * @param balancer address at which the balancer asks whether this router takes connections
+ * @param balancer address of the readiness check of the balancer
  * @param peers address that other routers connect to
  * @param metrics address of the metrics page
  * @param store address of the platform's store
- * @param retryShare repeats allowed for a request over all routers
- * @param retryAllowance repeats allowed beyond that in ten seconds over all routers; the platform
+ * @param retryShare retries allowed for each request, over all routers
+ * @param retryAllowance additional retries allowed in ten seconds, over all routers; the platform
  *     scales it with the deployment, so it may have a fraction
  * @param quarantineMs longest time for which a request that ends its servers is not sent
- * @param graceMs time between the order to leave and the end of the process
+ * @param graceMs time between the shutdown request and the end of the process
  */
 public record RelaySettings(
         RouterId router,
@@ -48,7 +48,7 @@
         long quarantineMs,
         long graceMs,
         LogLevel logLevel) {
-    /** The longest file read, in characters. */
+    /** Maximum length of a settings file, in characters. */
     public static final int MAX_CHARS = 65_536;
 
     private static final int MAX_SECTIONS = 16;
@@ -57,8 +57,8 @@
     private static final int MAX_GRACE_S = 600;
     private static final int MIN_QUARANTINE_S = 60;
     private static final int MAX_QUARANTINE_S = 604_800;
-    private static final int QUARANTINE_S = 3_600;
-    private static final double MS_A_SECOND = 1_000;
+    private static final int DEFAULT_QUARANTINE_S = 3_600;
+    private static final double MS_PER_SECOND = 1_000;
 
     private static final ImmutableSet<String> SECTIONS =
             ImmutableSet.of(
@@ -87,7 +87,7 @@
     /**
      * Reads the settings in {@code file}.
      *
-     * @throws MasticweirException if the file can't be read or breaks a rule
+     * @throws MasticweirException if the file cannot be read or has an invalid setting
      */
     public static RelaySettings read(Path file) {
         try {
@@ -102,10 +102,10 @@
     }
 
     /**
-     * Reads settings from {@code text}.
+     * Parses settings from {@code text}.
      *
-     * @param source named in errors
-     * @throws MasticweirException if the text breaks a rule
+     * @param source name used in error messages
+     * @throws MasticweirException if the text has an invalid setting
      */
     public static RelaySettings parse(String source, String text) {
         ProblemLog log = ProblemLog.of(source);
@@ -120,7 +120,7 @@
         return log.result(reader::settings).orElseThrow();
     }
 
-    /** Reads one text's values. */
+    /** Reads the values from the sections of one text. */
     private static final class Reader {
         private static final ValueRule<InetSocketAddress> ADDRESS = ValueRule.address();
 
@@ -145,7 +145,7 @@
                             .optional(
                                     "hold_s",
                                     ValueRule.decimal(MIN_QUARANTINE_S, MAX_QUARANTINE_S),
-                                    (double) QUARANTINE_S);
+                                    (double) DEFAULT_QUARANTINE_S);
             return new RelaySettings(
                     router.required("id", ValueRule.id(RouterId::of)),
                     router.required("domain", ValueRule.id(DomainId::of)),
@@ -156,8 +156,8 @@
                     section("store", "address").required("address", ADDRESS),
                     retries.required("share", ValueRule.decimal(0, MAX_SHARE)),
                     retries.required("allowance", ValueRule.decimal(0, MAX_ALLOWANCE)),
-                    Math.round(holdS * MS_A_SECOND),
-                    Math.round(graceS * MS_A_SECOND),
+                    Math.round(holdS * MS_PER_SECOND),
+                    Math.round(graceS * MS_PER_SECOND),
                     section("log", "level")
                             .optional("level", ValueRule.enumOf(LogLevel.class), LogLevel.INFO));
         }
--- a/masticweir/src/main/java/org/masticweir/relay/ThreadDelays.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ThreadDelays.java
@@ -14,19 +14,19 @@
 import org.masticweir.time.Clock;
 
 /**
- * Measures how late the router's two threads run what is due; thread-safe.
+ * Measures the scheduling delay of the router's two threads; thread-safe.
  *
- * <p>All waits of requests are only as exact as these threads: without it a busy processor can't be
- * told from a wrong decision.
+ * <p>All timeouts of requests are only as exact as these threads. Without this measurement, a busy
+ * processor cannot be distinguished from a wrong decision.
  */
 final class ThreadDelays {
     private static final Logger LOG = LogManager.getLogger(ThreadDelays.class);
 
-    private static final long PROBE_EVERY_MS = 500;
+    private static final long PROBE_INTERVAL_MS = 500;
     private static final long WINDOW_MS = 60_000;
 
-    /** Delay from which a line is written, in ms. */
-    static final long LOGGED_MS = 100;
+    /** Shortest delay that is logged, in ms. */
+    static final long LOG_THRESHOLD_MS = 100;
 
     private final ScheduledExecutorService control;
     private final Executor traffic;
@@ -46,9 +46,9 @@
         trafficMs = histogram(metrics, "traffic");
     }
 
-    /** Measures from now on. */
+    /** Starts the periodic measurement. */
     void start() {
-        probeAt(clock.nowMs() + PROBE_EVERY_MS);
+        probeAt(clock.nowMs() + PROBE_INTERVAL_MS);
     }
 
     private void probeAt(long dueMs) {
@@ -57,14 +57,14 @@
 
     private void probe(long dueMs) {
         long now = clock.nowMs();
-        traffic.execute(() -> measured(now - dueMs, clock.nowMs() - now));
-        probeAt(now + PROBE_EVERY_MS);
+        traffic.execute(() -> recordDelays(now - dueMs, clock.nowMs() - now));
+        probeAt(now + PROBE_INTERVAL_MS);
     }
 
-    private void measured(long controlLateMs, long trafficLateMs) {
+    private void recordDelays(long controlLateMs, long trafficLateMs) {
         controlMs.update(controlLateMs);
         trafficMs.update(trafficLateMs);
-        if (Math.max(controlLateMs, trafficLateMs) >= LOGGED_MS) {
+        if (Math.max(controlLateMs, trafficLateMs) >= LOG_THRESHOLD_MS) {
             LOG.info(
                     "router: the control thread ran {} ms late, the traffic thread {} ms",
                     controlLateMs,
--- a/masticweir/src/main/java/org/masticweir/relay/UnreadableRows.java
+++ b/masticweir/src/main/java/org/masticweir/relay/UnreadableRows.java
@@ -11,27 +11,32 @@
 import org.masticweir.store.RowKey;
 
 /**
- * Reports rows of the store that can't be read, each revision of a row once; confined to the
- * control thread.
+ * Logs and counts rows of the store that cannot be parsed, once for each revision of a row;
+ * confined to the control thread.
  *
- * <p>Failure that it answers: another writer leaves a row that is no entry. A table that is read
- * whole again and again would otherwise fill the log with it.
+ * <p>Prevents a flood of log lines: another writer may leave an invalid row in a table that is read
+ * in full again and again.
  */
 final class UnreadableRows {
     private static final Logger LOG = LogManager.getLogger(UnreadableRows.class);
 
-    /** Rows remembered; past that, the one that was reported longest ago may be reported again. */
-    private static final int MAX_REMEMBERED = 1_024;
+    /**
+     * Maximum number of rows stored; beyond it, the row reported first is dropped and may be
+     * reported again.
+     */
+    private static final int MAX_ROWS = 1_024;
 
-    /** Longest reason logged, in characters: it may quote the row, which can be long. */
-    private static final int MAX_REASON = 200;
+    /**
+     * Maximum length of a logged reason, in characters: it may quote the row, which can be long.
+     */
+    private static final int MAX_REASON_CHARS = 200;
 
     private final Counter counter;
-    private final Map<RowKey, Long> reported =
+    private final Map<RowKey, Long> reportedRevisions =
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<RowKey, Long> eldest) {
-                    return size() > MAX_REMEMBERED;
+                    return size() > MAX_ROWS;
                 }
             };
 
@@ -39,8 +44,8 @@
         this.counter = checkNotNull(counter, "counter");
     }
 
-    void found(RowKey row, long revision, String reason) {
-        Long before = reported.put(row, revision);
+    void report(RowKey row, long revision, String reason) {
+        Long before = reportedRevisions.put(row, revision);
         if (before != null && before == revision) {
             return;
         }
@@ -49,6 +54,6 @@
                 "instances: row {} at revision {} names no server, {}",
                 row,
                 revision,
-                Ascii.truncate(reason, MAX_REASON, "..."));
+                Ascii.truncate(reason, MAX_REASON_CHARS, "..."));
     }
 }
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogSpreadTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogDistributionTest.java
@@ -10,26 +10,28 @@
 import org.masticweir.config.DocumentEdit;
 
 /**
- * A catalog of many routes spreads over 95 routers in six domains, each on a link of 14 Mbit/s.
+ * A catalog with many routes is distributed to 95 routers in six domains, each on a link of 14
+ * Mbit/s.
  *
- * <p>The bound of a change is two seconds from the store's word, the shortest that deployments ask.
+ * <p>A change must be in force two seconds after the store reports it, the shortest bound that
+ * deployments require.
  */
-class CatalogSpreadTest {
+class CatalogDistributionTest {
     private static final int ROUTERS = 95;
     private static final int DOMAINS = 6;
     private static final int ROUTES = 1_600;
     private static final long BOUND_MS = 2_000;
     private static final double BYTES_PER_MS = 1_750;
 
-    /** Long enough for pulses to have settled who reads. */
+    /** Time after which the status messages have settled which routers read the store. */
     private static final long SETTLED_MS = 8_000;
 
-    /** What control may cost a router, in bytes a second. */
-    private static final long CONTROL_BYTES_PER_S = 12_000;
+    /** Maximum control traffic of a router, in bytes per second. */
+    private static final long MAX_CONTROL_BYTES_PER_S = 12_000;
 
     /**
-     * Returns a catalog as routers are given it: one entry a route, names that nobody can guess,
-     * the version before them and the limits after them.
+     * Returns a catalog in the format that routers receive: one entry for each route, with random
+     * names, the version before the routes and the limits after them.
      */
     private static String catalog(long version, int routes) {
         Random random = new Random(39);
@@ -51,23 +53,24 @@
         return Long.toString(random.nextLong() >>> 24, Character.MAX_RADIX);
     }
 
-    private static StoreFleet settled(String catalog) {
-        StoreFleet fleet = new StoreFleet(ROUTERS, DOMAINS, BYTES_PER_MS, catalog);
+    private static SimulatedFleet settled(String catalog) {
+        SimulatedFleet fleet = new SimulatedFleet(ROUTERS, DOMAINS, BYTES_PER_MS, catalog);
         fleet.runFor(SETTLED_MS);
-        assertEquals(ROUTERS, fleet.holdersAfter(1, 0), "routers that have settled");
+        assertEquals(ROUTERS, fleet.countHoldersAfter(1, 0), "routers that hold version 1");
         return fleet;
     }
 
-    private static void assertInForceInTime(StoreFleet fleet, long version) {
-        assertEquals(ROUTERS, fleet.holdersAfter(version, BOUND_MS), "routers that hold it");
+    private static void assertInForceInTime(SimulatedFleet fleet, long version) {
+        assertEquals(ROUTERS, fleet.countHoldersAfter(version, BOUND_MS), "routers that hold it");
     }
 
     /**
-     * A change was sent whole to each peer, later than the peers waited, and so again and again.
+     * Each change was sent as the full text to each peer, arrived after the timeout of the request,
+     * and was requested again and again.
      */
     @Nested
-    class AChange {
-        private final StoreFleet fleet = settled(catalog(1, ROUTES));
+    class Change {
+        private final SimulatedFleet fleet = settled(catalog(1, ROUTES));
 
         @Test
         void ofOneLimitIsInForceEverywhereInTime() {
@@ -82,7 +85,7 @@
         }
 
         @Test
-        void afterWhichAnotherFollowsAtOnceIsInForceEverywhereInTime() {
+        void inRapidSuccessionIsInForceEverywhereInTime() {
             for (int version = 2; version <= 6; version++) {
                 fleet.store.catalog(catalog(version, ROUTES));
                 fleet.runFor(100);
@@ -91,7 +94,7 @@
         }
 
         @Test
-        void costsWhatControlMayCostForASecond() {
+        void staysWithinTheControlTrafficOfASecond() {
             fleet.runFor(1_000);
             long before = fleet.sentBytes();
             fleet.runFor(1_000);
@@ -99,17 +102,20 @@
             fleet.store.catalog(catalog(2, ROUTES));
             fleet.runFor(1_000);
             long extra = (fleet.sentBytes() - quiet - (quiet - before)) / ROUTERS;
-            assertTrue(extra <= CONTROL_BYTES_PER_S, extra + " bytes a router");
+            assertTrue(extra <= MAX_CONTROL_BYTES_PER_S, extra + " bytes a router");
         }
     }
 
-    /** A reply came later than the ask waited, was dropped, and was asked for again for good. */
+    /**
+     * A reply arrived after the timeout of its request and was discarded, and the request was
+     * repeated endlessly.
+     */
     @Nested
-    class AChangeLongerThanAnAskMayTake {
+    class ChangeSlowerThanTheRequestTimeout {
         private static final int TEAMS = 4_500;
         private static final int KEYS_A_TEAM = 4;
 
-        /** In force everywhere, for any change, in ms. */
+        /** Time within which any change is in force everywhere, in ms. */
         private static final long ANY_CHANGE_MS = 10_000;
 
         private static String allKeysOf(long version) {
@@ -128,15 +134,16 @@
         }
 
         @Test
-        void isInForceEverywhereInTheEnd() {
-            StoreFleet fleet = settled(allKeysOf(1));
+        void isEventuallyInForceEverywhere() {
+            SimulatedFleet fleet = settled(allKeysOf(1));
             fleet.store.catalog(allKeysOf(2));
-            assertEquals(ROUTERS, fleet.holdersAfter(2, ANY_CHANGE_MS), "routers that hold it");
+            assertEquals(
+                    ROUTERS, fleet.countHoldersAfter(2, ANY_CHANGE_MS), "routers that hold it");
         }
 
         @Test
-        void goesTwiceToEachRouterAtMost() {
-            StoreFleet fleet = settled(allKeysOf(1));
+        void isSentAtMostTwiceToEachRouter() {
+            SimulatedFleet fleet = settled(allKeysOf(1));
             long packed = PackedEdit.of(DocumentEdit.between("", allKeysOf(2))).length();
             long before = fleet.sentBytes();
             fleet.store.catalog(allKeysOf(2));
@@ -146,59 +153,67 @@
         }
     }
 
-    /** A list of many servers came later than the ask waited, and was asked for again for good. */
+    /**
+     * A list of many servers arrived after the timeout of its request, and the request was repeated
+     * endlessly.
+     */
     @Nested
-    class AListOfServersLongerThanAnAskMayTake {
+    class ServerListSlowerThanTheRequestTimeout {
         private static final int SERVERS = 2_600;
-        private static final long IN_THE_END_MS = 10_000;
+        private static final long EVENTUAL_MS = 10_000;
 
         @Test
-        void isKnownEverywhereInTheEnd() {
-            StoreFleet fleet = settled("1");
-            fleet.cut = (from, to) -> true;
+        void isEventuallyReceivedEverywhere() {
+            SimulatedFleet fleet = settled("1");
+            fleet.isCut = (from, to) -> true;
             for (int i = 2; i <= SERVERS; i++) {
                 fleet.store.put("server-of-the-pool-" + i, Integer.toString(i));
             }
             fleet.store.put("e1", "82");
             fleet.runFor(1_000);
-            fleet.cut = (from, to) -> false;
-            List<StoreFleet.Router> all = List.copyOf(fleet.routers.values());
-            long tookMs = fleet.untilAllSee(all, "82", IN_THE_END_MS);
-            assertTrue(tookMs <= IN_THE_END_MS, "known by all after " + tookMs + " ms");
+            fleet.isCut = (from, to) -> false;
+            List<SimulatedFleet.Router> all = List.copyOf(fleet.routers.values());
+            long tookMs = fleet.timeUntilAllSee(all, "82", EVENTUAL_MS);
+            assertTrue(tookMs <= EVENTUAL_MS, "received by all after " + tookMs + " ms");
         }
     }
 
-    /** What is longer than a frame between routers may be was never given to anybody. */
+    /**
+     * A catalog longer than the maximum frame between routers was never delivered to any router.
+     */
     @Nested
-    class ACatalogLongerThanAFrame {
+    class CatalogLongerThanAFrame {
         private static final int MANY_ROUTES = 6_000;
 
         @Test
         void isInForceEverywhereInTime() {
-            StoreFleet fleet = settled(catalog(1, MANY_ROUTES));
+            SimulatedFleet fleet = settled(catalog(1, MANY_ROUTES));
             fleet.store.catalog(catalog(2, MANY_ROUTES));
             assertInForceInTime(fleet, 2);
         }
     }
 
     /**
-     * A router that was cut off while versions came and went knows none that its peers remember.
+     * A router that was cut off during several changes holds a version that its peers no longer
+     * store.
      */
     @Nested
-    class ARouterThatWasAway {
+    class DisconnectedRouter {
         @Test
-        void getsTheNewestInTime() {
-            StoreFleet fleet = settled(catalog(1, ROUTES));
-            List<StoreFleet.Router> home = fleet.ranked("d0");
-            StoreFleet.Router away = home.get(home.size() - 1);
-            away.fault = StoreFleet.StoreFault.SILENT;
-            fleet.cut = (from, to) -> from.equals(away.at.id()) || to.equals(away.at.id());
+        void receivesTheNewestVersionInTime() {
+            SimulatedFleet fleet = settled(catalog(1, ROUTES));
+            List<SimulatedFleet.Router> ranked = fleet.byRank("d0");
+            SimulatedFleet.Router disconnected = ranked.get(ranked.size() - 1);
+            disconnected.fault = SimulatedFleet.StoreFault.SILENT;
+            fleet.isCut =
+                    (from, to) ->
+                            from.equals(disconnected.at.id()) || to.equals(disconnected.at.id());
             for (int version = 2; version <= 9; version++) {
                 fleet.store.catalog(catalog(version, ROUTES));
                 fleet.runFor(BOUND_MS);
             }
-            assertEquals(1, away.catalogVersion());
-            fleet.cut = (from, to) -> false;
+            assertEquals(1, disconnected.catalogVersion());
+            fleet.isCut = (from, to) -> false;
             assertInForceInTime(fleet, 9);
         }
     }
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogSharingTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogSharingTest.java
@@ -11,16 +11,16 @@
 import org.masticweir.relay.RelayMessages.CatalogRequest;
 import org.masticweir.time.ManualScheduler;
 
-/** What a router asks its peers for, and what it makes of their replies. */
+/** Requests of a router for a newer catalog, and its handling of the replies. */
 class CatalogSharingTest {
     private static final RouterId FIRST = RouterId.of("first");
     private static final RouterId SECOND = RouterId.of("second");
 
     private final ManualScheduler scheduler = new ManualScheduler();
     private final FakePeers peers = new FakePeers();
-    private final Deployment deployment =
-            new Deployment(
-                    new DeploymentTest.Form(),
+    private final DeploymentState deployment =
+            new DeploymentState(
+                    new DeploymentStateTest.TestFormat(),
                     scheduler.clock(),
                     new UnreadableRows(new Counter()),
                     view -> {});
@@ -28,7 +28,7 @@
             new CatalogSharing(
                     peers, deployment, scheduler, scheduler.clock(), new MetricRegistry());
 
-    /** Each version changes the line of its number, and no other one. */
+    /** Returns a text in which only the line with the number of the version differs. */
     private static String text(long version) {
         StringBuilder text = new StringBuilder().append(version).append('\n');
         for (int line = 0; line < 50; line++) {
@@ -41,68 +41,74 @@
         return CatalogReply.edit(PackedEdit.of(DocumentEdit.between(text(from), text(to))));
     }
 
-    private void inForce(long version) {
+    private void putInForce(long version) {
         deployment.catalogText(text(version), "store");
-        sharing.changed();
+        sharing.recordCatalog();
     }
 
-    private void reply(int ask, CatalogReply offer) {
-        peers.replies.get(ask).complete(offer);
+    private void reply(int request, CatalogReply catalog) {
+        peers.replies.get(request).complete(catalog);
         scheduler.runTo(scheduler.clock().nowMs() + 1);
     }
 
-    private void later() {
+    private void runPastHedgeDelay() {
         scheduler.runTo(scheduler.clock().nowMs() + HedgedPeerRequest.HEDGE_DELAY_MS);
     }
 
-    private long heldInAsk(int ask) {
-        return ((CatalogRequest) peers.requests.get(ask)).newerThan();
+    private long heldVersionInRequest(int request) {
+        return ((CatalogRequest) peers.requests.get(request)).newerThan();
     }
 
-    /** A newer version came meanwhile; the edit of the older text was held to fit none. */
+    /**
+     * An edit whose base was replaced by a newer version before the reply arrived was rejected as
+     * not applicable.
+     */
     @Test
-    void anEditThatComesLateFitsTheTextItWasAskedFor() {
-        inForce(1);
-        sharing.heardOf(FIRST, 2);
-        inForce(2);
+    void lateEditAppliesToTheTextAtTheRequest() {
+        putInForce(1);
+        sharing.handleVersion(FIRST, 2);
+        putInForce(2);
         reply(0, edit(1, 3));
         assertEquals(3, deployment.catalogVersion());
-        sharing.heardOf(SECOND, 4);
-        assertEquals(3, heldInAsk(1));
+        sharing.handleVersion(SECOND, 4);
+        assertEquals(3, heldVersionInRequest(1));
     }
 
     @Test
-    void anEditOfAnotherTextIsFollowedByAnAskForTheWhole() {
-        inForce(1);
-        sharing.heardOf(FIRST, 3);
+    void inapplicableEditLeadsToARequestForTheFullText() {
+        putInForce(1);
+        sharing.handleVersion(FIRST, 3);
         reply(0, edit(2, 3));
         assertEquals(1, deployment.catalogVersion());
-        sharing.heardOf(FIRST, 3);
-        assertEquals(0, heldInAsk(1));
+        sharing.handleVersion(FIRST, 3);
+        assertEquals(0, heldVersionInRequest(1));
         reply(1, CatalogReply.edit(PackedEdit.of(DocumentEdit.between("", text(3)))));
         assertEquals(3, deployment.catalogVersion());
     }
 
-    /** Each pulse asked for the whole text of a version that could not be read. */
+    /**
+     * Each status message of a peer triggered another request for the full text of a version that
+     * could not be parsed.
+     */
     @Test
-    void aVersionThatIsNotUnderstoodIsAskedForOnce() {
-        inForce(1);
-        sharing.heardOf(FIRST, 2);
+    void unparsableVersionIsRequestedOnce() {
+        putInForce(1);
+        sharing.handleVersion(FIRST, 2);
         reply(0, CatalogReply.whole("not a catalog"));
-        sharing.heardOf(FIRST, 2);
-        later();
-        sharing.heardOf(SECOND, 2);
+        sharing.handleVersion(FIRST, 2);
+        runPastHedgeDelay();
+        sharing.handleVersion(SECOND, 2);
         assertEquals(1, peers.recipients.size());
-        sharing.heardOf(SECOND, 3);
+        sharing.handleVersion(SECOND, 3);
         assertEquals(2, peers.recipients.size());
     }
 
     @Test
-    void asksOnWhileANewerVersionIsKnownOf() {
-        inForce(1);
-        sharing.heardOf(FIRST, 2);
-        sharing.heardOf(FIRST, 5);
+    void requestsAgainWhileANewerVersionIsAwaited() {
+        putInForce(1);
+        sharing.handleVersion(FIRST, 2);
+        sharing.handleVersion(FIRST, 5);
         reply(0, edit(1, 2));
-        assertEquals(2, heldInAsk(1));
+        assertEquals(2, heldVersionInRequest(1));
     }
 }
--- /dev/null
+++ b/masticweir/src/test/java/org/masticweir/relay/DeploymentStateTest.java
@@ -0,0 +1,323 @@
+package org.masticweir.relay;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.codahale.metrics.Counter;
+import com.google.common.collect.ImmutableList;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+import org.masticweir.catalog.BackendServer;
+import org.masticweir.catalog.Catalog;
+import org.masticweir.catalog.RequestLimits;
+import org.masticweir.catalog.ServerIncarnation;
+import org.masticweir.catalog.ServiceName;
+import org.masticweir.id.DomainId;
+import org.masticweir.id.EngineId;
+import org.masticweir.relay.RelayMessages.ServerUpdates;
+import org.masticweir.store.FeedOutcome;
+import org.masticweir.store.RowKey;
+import org.masticweir.time.ManualClock;
+
+/**
+ * A router's view of its deployment: unreadable rows, updates from peers, and restarts of servers.
+ */
+class DeploymentStateTest {
+    static final String TABLE = "instances";
+
+    /**
+     * An entry is {@code PORT}, or {@code PORT@START}; a catalog is its version, followed by lines
+     * that are ignored.
+     */
+    static final class TestFormat implements DeploymentFormat {
+        @Override
+        public RowKey catalogRow() {
+            return RowKey.of("settings", "catalog");
+        }
+
+        @Override
+        public String serverTable() {
+            return TABLE;
+        }
+
+        @Override
+        public Catalog catalog(String text) {
+            return Catalog.of(
+                    Long.parseLong(text.lines().findFirst().orElse("")),
+                    new RequestLimits(1_000),
+                    ImmutableList.of(),
+                    ImmutableList.of(),
+                    ImmutableList.of());
+        }
+
+        @Override
+        public BackendServer server(EngineId id, String text) {
+            int at = text.indexOf('@');
+            String port = at < 0 ? text : text.substring(0, at);
+            long start = at < 0 ? 0 : Long.parseLong(text.substring(at + 1));
+            return new BackendServer(
+                    ServerIncarnation.of(id, start),
+                    ServiceName.of("s"),
+                    new InetSocketAddress("127.0.0.1", Integer.parseInt(port)),
+                    DomainId.of("a"),
+                    4,
+                    false);
+        }
+    }
+
+    private final ManualClock clock = ManualClock.startingAt(10_000);
+    private final Counter unreadable = new Counter();
+    private RelayView view = RelayView.empty();
+    private final DeploymentState deployment =
+            new DeploymentState(
+                    new TestFormat(), clock, new UnreadableRows(unreadable), v -> view = v);
+
+    private static FeedOutcome.Change row(String key, long revision, Optional<String> value) {
+        return new FeedOutcome.Change(RowKey.of(TABLE, key), revision, false, value);
+    }
+
+    private static FeedOutcome.Change removed(String key, long revision) {
+        return new FeedOutcome.Change(RowKey.of(TABLE, key), revision, true, Optional.empty());
+    }
+
+    private static FeedOutcome.Change row(String key, long revision, String value) {
+        return row(key, revision, Optional.of(value));
+    }
+
+    private Optional<ServerUpdates> applyRows(
+            boolean isFullReading, FeedOutcome.Change... changes) {
+        return applyRows(isFullReading, clock.nowMs(), changes);
+    }
+
+    private Optional<ServerUpdates> applyRows(
+            boolean isFullReading, long removalDueMs, FeedOutcome.Change... changes) {
+        long last = 0;
+        for (FeedOutcome.Change change : changes) {
+            last = Math.max(last, change.revision());
+        }
+        OptionalLong since = isFullReading ? OptionalLong.empty() : OptionalLong.of(last - 1);
+        return deployment.applyServerRows(
+                new FeedOutcome.Rows(List.of(changes), last), since, removalDueMs);
+    }
+
+    private static ServerUpdates updateMessage(ServerUpdate update) {
+        return new ServerUpdates(update.revision() - 1, update.revision(), 0, List.of(update));
+    }
+
+    private String servers() {
+        return view.servers().values().stream()
+                .map(s -> s.incarnation() + ":" + s.address().getPort())
+                .sorted()
+                .collect(Collectors.joining(" "));
+    }
+
+    /**
+     * A route or key was rejected as unknown by a router whose peers had already reported a newer
+     * catalog.
+     */
+    @Nested
+    class NewerCatalogAtPeers {
+        private static final long FRESH_MS = DeploymentState.FRESH_MS;
+
+        private void putInForce(long version) {
+            deployment.catalogText(Long.toString(version), "store");
+            deployment.recordConfirmation();
+            deployment.tick();
+        }
+
+        private void versionReported(long version) {
+            deployment.recordVersion(version);
+            deployment.tick();
+        }
+
+        @Test
+        void endsFreshnessUntilItIsReceived() {
+            putInForce(1);
+            assertTrue(view.isCatalogFresh());
+            versionReported(2);
+            assertFalse(view.isCatalogFresh());
+            putInForce(2);
+            assertTrue(view.isCatalogFresh());
+        }
+
+        @Test
+        void isIgnoredOnceNoPeerReportsIt() {
+            putInForce(1);
+            versionReported(2);
+            clock.advanceMs(FRESH_MS + 1);
+            putInForce(1);
+            assertTrue(view.isCatalogFresh());
+        }
+
+        @Test
+        void doesNotIncludeHeldOrOlderVersions() {
+            putInForce(2);
+            versionReported(2);
+            versionReported(1);
+            assertTrue(view.isCatalogFresh());
+        }
+    }
+
+    /**
+     * Another writer adds a row to the table, or overwrites a server's own row: requests wait for
+     * an address without a listener, or the router receives no more updates of servers.
+     */
+    @Nested
+    class RowsOfAnotherWriter {
+        @Test
+        void addNoServerAndHideNoOther() {
+            applyRows(
+                    true,
+                    row("e1", 1, "81"),
+                    row("e2", 2, "eighty"),
+                    row("e3", 3, Optional.empty()),
+                    row("no token!", 4, "84"),
+                    row("e5", 5, "0"),
+                    row("e6", 6, "86"));
+            assertEquals("e1:81 e6:86", servers());
+            assertEquals(4, unreadable.getCount());
+        }
+
+        @Test
+        void removeAServerUntilItWritesAgain() {
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            assertEquals(1, applyRows(false, row("e1", 3, "???")).orElseThrow().updates().size());
+            assertEquals("e2:82", servers());
+            applyRows(false, row("e1", 4, "81"));
+            assertEquals("e1:81 e2:82", servers());
+        }
+
+        @Test
+        void areInvalidWithoutAKnownStartTime() {
+            applyRows(true, row("e1", 1, "81@500"));
+            applyRows(false, row("e1", 2, "99"));
+            assertEquals("", servers());
+            applyRows(false, row("e1", 3, "81@500"));
+            assertEquals("e1@500:81", servers());
+        }
+
+        @Test
+        void areReportedOncePerRevision() {
+            applyRows(true, row("e1", 1, "?"));
+            applyRows(true, row("e1", 1, "?"));
+            assertEquals(1, unreadable.getCount());
+            applyRows(false, row("e1", 2, "?"));
+            assertEquals(2, unreadable.getCount());
+        }
+
+        @Test
+        void doNotReplaceTheCatalogInForce() {
+            FeedOutcome.Change good =
+                    new FeedOutcome.Change(
+                            new TestFormat().catalogRow(), 1, false, Optional.of("7"));
+            FeedOutcome.Change bad =
+                    new FeedOutcome.Change(
+                            new TestFormat().catalogRow(), 2, false, Optional.empty());
+            deployment.applyCatalogRows(new FeedOutcome.Rows(List.of(good), 1));
+            deployment.applyCatalogRows(new FeedOutcome.Rows(List.of(bad), 2));
+            assertEquals(7, view.catalog().orElseThrow().version());
+        }
+    }
+
+    /**
+     * A router that does not read the store is not notified of a removal, or not of its delay:
+     * requests go to a server that has left for good, or a running server is no longer used.
+     */
+    @Nested
+    class RepliesToPeers {
+        private final DeploymentState peer =
+                new DeploymentState(
+                        new TestFormat(), clock, new UnreadableRows(unreadable), v -> {});
+
+        private void peerRequestsUpdates() {
+            peer.applyPeerUpdates(deployment.replyTo(peer.updatesRequest()), "r1");
+        }
+
+        private String peerServers() {
+            return peer.updatesAfter(UpdateProgress.START).updates().stream()
+                    .map(w -> w.id().value())
+                    .sorted()
+                    .collect(Collectors.joining(" "));
+        }
+
+        @Test
+        void listAllServersForANewPeer() {
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            peerRequestsUpdates();
+            assertEquals("e1 e2", peerServers());
+        }
+
+        @Test
+        void containNoListForAPeerWithTheSameServers() {
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            peerRequestsUpdates();
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            assertEquals(List.of(), deployment.replyTo(peer.updatesRequest()).updates());
+        }
+
+        @Test
+        void containTheChangesForAPeerThatIsBehind() {
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            peerRequestsUpdates();
+            applyRows(false, removed("e1", 3));
+            applyRows(false, row("e3", 4, "83"));
+            assertEquals(2, deployment.replyTo(peer.updatesRequest()).updates().size());
+            peerRequestsUpdates();
+            assertEquals("e2 e3", peerServers());
+        }
+
+        @Test
+        void containPendingRemovalsWithTheirDelay() {
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            peerRequestsUpdates();
+            applyRows(false, clock.nowMs() + 2_000, removed("e1", 3));
+            peerRequestsUpdates();
+            clock.advanceMs(1_900);
+            peer.tick();
+            assertEquals(2, peer.serverCount());
+            clock.advanceMs(200);
+            peer.tick();
+            assertEquals(1, peer.serverCount());
+        }
+
+        @Test
+        void containRemovalsFoundByAFullReading() {
+            applyRows(true, row("e1", 1, "81"), row("e2", 2, "82"));
+            peerRequestsUpdates();
+            applyRows(true, row("e2", 5, "82"));
+            peerRequestsUpdates();
+            assertEquals("e2", peerServers());
+        }
+    }
+
+    /**
+     * A server restarts under its id at another address, and a peer that the store refuses still
+     * reports its previous incarnation: requests are sent to the old address.
+     */
+    @Nested
+    class RestartedServers {
+        @Test
+        void areAtTheAddressOfTheLaterLife() {
+            applyRows(true, row("e1", 1, "81@500"));
+            applyRows(false, row("e1", 2, "91@900"));
+            assertEquals("e1@900:91", servers());
+            BackendServer old = new TestFormat().server(EngineId.of("e1"), "81@500");
+            deployment.applyPeerUpdates(updateMessage(ServerUpdate.present(old, 3)), "r2");
+            assertEquals("e1@900:91", servers());
+        }
+
+        @Test
+        void areReportedByPeers() {
+            applyRows(true, row("e1", 5, "81@500"));
+            BackendServer later = new TestFormat().server(EngineId.of("e1"), "91@900");
+            deployment.applyPeerUpdates(updateMessage(ServerUpdate.present(later, 4)), "r2");
+            assertEquals("e1@900:91", servers());
+        }
+    }
+}
--- a/masticweir/src/test/java/org/masticweir/relay/Uplink.java
+++ b/masticweir/src/test/java/org/masticweir/relay/SimulatedUplink.java
@@ -8,12 +8,12 @@
 import org.masticweir.time.ManualScheduler;
 
 /**
- * What one router has to send on a link of limited bandwidth; its peers take turns.
+ * Simulates the outgoing link of one router with limited bandwidth, which its peers share in turn.
  *
- * <p>Connections that share a link slow each other down, so that many long messages sent at one
- * moment all come late.
+ * <p>Connections that share a link slow each other down, so many long messages sent at the same
+ * moment all arrive late.
  */
-final class Uplink {
+final class SimulatedUplink {
     private static final int CHUNK_BYTES = 16 << 10;
 
     private final ManualScheduler scheduler;
@@ -23,23 +23,23 @@
     private boolean sending;
     private long sentBytes;
 
-    Uplink(ManualScheduler scheduler, double bytesPerMs) {
+    SimulatedUplink(ManualScheduler scheduler, double bytesPerMs) {
         this.scheduler = scheduler;
         this.bytesPerMs = bytesPerMs;
     }
 
-    /** Returns what was given to send so far, in bytes. */
+    /** Returns the total length of the messages sent so far, in bytes. */
     long sentBytes() {
         return sentBytes;
     }
 
-    /** A message on its way. */
+    /** A message in transit. */
     private static final class Transfer {
         private final Runnable arrival;
-        private long left;
+        private long remainingBytes;
 
         Transfer(long bytes, Runnable arrival) {
-            this.left = bytes;
+            this.remainingBytes = bytes;
             this.arrival = arrival;
         }
     }
@@ -59,10 +59,10 @@
         RouterId peer = queues.keySet().iterator().next();
         Queue<Transfer> queue = queues.remove(peer);
         Transfer first = queue.peek();
-        long chunk = Math.min(first.left, CHUNK_BYTES);
-        first.left -= chunk;
+        long chunk = Math.min(first.remainingBytes, CHUNK_BYTES);
+        first.remainingBytes -= chunk;
         freeAtMs += chunk / bytesPerMs;
-        if (first.left == 0) {
+        if (first.remainingBytes == 0) {
             queue.remove();
         }
         if (!queue.isEmpty()) {
@@ -72,7 +72,7 @@
     }
 
     private void sent(Transfer transfer) {
-        if (transfer.left == 0) {
+        if (transfer.remainingBytes == 0) {
             transfer.arrival.run();
         }
         sending = !queues.isEmpty();
