--- a/masticweir/src/main/java/org/masticweir/permits/SharedPermits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/SharedPermits.java
@@ -165,7 +165,7 @@
         }
         unanswered.inc();
         LOG.info(
-                "permits: no decision from {} for {}, {}",
+                "permits: {} does not answer for {}, {}",
                 issuerId,
                 key,
                 error == null ? "unexpected reply" : error.getMessage());
--- a/masticweir/src/main/java/org/masticweir/quarantine/CrashRecord.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/CrashRecord.java
@@ -46,7 +46,7 @@
     /** Returns the losses that were not withdrawn, ordered by the time of their ends. */
     public ImmutableList<Loss> countedLosses() {
         return losses.stream()
-                .filter(l -> !withdrawn.contains(l.incarnation()))
+                .filter(l -> !withdrawn.contains(l.life()))
                 .sorted(Comparator.comparingLong(Loss::endedMs))
                 .collect(ImmutableList.toImmutableList());
     }
@@ -89,7 +89,7 @@
 
     CrashRecord withdrawAll() {
         Set<ServerIncarnation> all =
-                losses.stream().map(Loss::incarnation).collect(ImmutableSet.toImmutableSet());
+                losses.stream().map(Loss::life).collect(ImmutableSet.toImmutableSet());
         return new CrashRecord(content, losses, union(withdrawn, all));
     }
 
@@ -108,8 +108,8 @@
 
     private static ImmutableList<Loss> union(List<Loss> some, List<Loss> others) {
         Map<ServerIncarnation, Loss> byIncarnation = new LinkedHashMap<>();
-        some.forEach(l -> byIncarnation.put(l.incarnation(), l));
-        others.forEach(l -> byIncarnation.merge(l.incarnation(), l, Loss::laterOf));
+        some.forEach(l -> byIncarnation.put(l.life(), l));
+        others.forEach(l -> byIncarnation.merge(l.life(), l, Loss::laterOf));
         return byIncarnation.values().stream()
                 .limit(MAX_INCARNATIONS)
                 .collect(ImmutableList.toImmutableList());
--- a/masticweir/src/main/java/org/masticweir/quarantine/CrashUpdate.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/CrashUpdate.java
@@ -45,7 +45,7 @@
             out.packArrayHeader(CONTENT_FIELDS).packString(record.content().value());
             out.packArrayHeader(record.losses().size());
             for (Loss loss : record.losses()) {
-                encodeIncarnation(loss.incarnation(), out.packArrayHeader(LOSS_FIELDS));
+                encodeIncarnation(loss.life(), out.packArrayHeader(LOSS_FIELDS));
                 out.packLong(loss.sentMs()).packLong(loss.endedMs());
             }
             encodeIncarnations(record.withdrawn(), out);
--- a/masticweir/src/main/java/org/masticweir/quarantine/Loss.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/Loss.java
@@ -11,7 +11,7 @@
  * @param sentMs when the request was sent there
  * @param endedMs when the server ended
  */
-public record Loss(ServerIncarnation incarnation, long sentMs, long endedMs) {
+public record Loss(ServerIncarnation life, long sentMs, long endedMs) {
     /** Maximum difference between the times that two routers store for one event, in ms. */
     private static final long CLOCK_TOLERANCE_MS = 100;
 
@@ -24,7 +24,7 @@
     private static final long MIN_RUN_MS = 50;
 
     public Loss {
-        checkNotNull(incarnation, "incarnation");
+        checkNotNull(life, "life");
         checkArgument(sentMs <= endedMs, "sent at %s, ended at %s", sentMs, endedMs);
     }
 
@@ -48,6 +48,6 @@
 
     /** Returns this loss with both times shifted by {@code ms}. */
     Loss shifted(long ms) {
-        return new Loss(incarnation, sentMs + ms, endedMs + ms);
+        return new Loss(life, sentMs + ms, endedMs + ms);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
@@ -242,10 +242,7 @@
     public ImmutableList<ContentId> contentsWithLossOf(ServerIncarnation incarnation) {
         return entries.values().stream()
                 .map(e -> e.record)
-                .filter(
-                        r ->
-                                r.countedLosses().stream()
-                                        .anyMatch(l -> l.incarnation().equals(incarnation)))
+                .filter(r -> r.countedLosses().stream().anyMatch(l -> l.life().equals(incarnation)))
                 .map(CrashRecord::content)
                 .collect(ImmutableList.toImmutableList());
     }
--- a/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
@@ -151,7 +151,7 @@
     private String encode(CrashRecord record) {
         StringBuilder text = new StringBuilder(Long.toString(clock.wallMs()));
         for (Loss loss : record.shifted(-clock.nowMs()).countedLosses()) {
-            ServerIncarnation incarnation = loss.incarnation();
+            ServerIncarnation incarnation = loss.life();
             text.append(SEPARATOR);
             Joiner.on(FIELD)
                     .appendTo(
--- a/masticweir/src/main/java/org/masticweir/relay/LossInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LossInquiry.java
@@ -73,7 +73,7 @@
     }
 
     private void handleProbeResult(ContentId content, Loss loss, boolean broke, Result result) {
-        ServerIncarnation incarnation = loss.incarnation();
+        ServerIncarnation incarnation = loss.life();
         boolean hasEnded = result == Result.ENDED || (broke && result == Result.UNREACHED);
         LOG.info(
                 "quarantine: {} was lost under content {}, {}, {}",
@@ -94,7 +94,7 @@
     }
 
     private void watchEntry(ContentId content, Loss loss) {
-        ServerIncarnation incarnation = loss.incarnation();
+        ServerIncarnation incarnation = loss.life();
         if (silentServers.size() < MAX_SILENT_SERVERS || silentServers.containsKey(incarnation)) {
             SilentServer server =
                     silentServers.computeIfAbsent(incarnation, i -> new SilentServer());
--- a/masticweir/src/main/java/org/masticweir/relay/StoreReading.java
+++ b/masticweir/src/main/java/org/masticweir/relay/StoreReading.java
@@ -40,11 +40,7 @@
     void tick() {
         ReadingRole role = role();
         if (role != lastRole) {
-            LOG.info(
-                    "store: reading role {}, was {}, {}",
-                    role,
-                    lastRole,
-                    share.basis(clock.nowMs()));
+            LOG.info("store: {} after {}, {}", role, lastRole, share.basis(clock.nowMs()));
             lastRole = role;
         }
         if (role.reads()) {
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
@@ -280,7 +280,7 @@
 
         private Set<ServerIncarnation> lostIncarnations(Quarantine quarantine) {
             return quarantine.countedLosses(CONTENT).stream()
-                    .map(Loss::incarnation)
+                    .map(Loss::life)
                     .collect(Collectors.toSet());
         }
 
