--- a/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineTest.java
@@ -29,7 +29,7 @@
     }
 
     /**
-     * An aborted send must count as not run: otherwise a caller is told that its booking may have
+     * An aborted send must count as not run: otherwise the answer reports that a booking may have
      * been made, though nothing of it was sent.
      */
     @Test
@@ -216,10 +216,7 @@
             assertEquals(OptionalLong.of(3), anew.lastEventId());
         }
 
-        /**
-         * A send to an address that now belongs to another server does not count as one of the
-         * sends that the route allows.
-         */
+        /** A send that reaches a wrong server does not count against the route's limit. */
         @Test
         void doesNotCountSendsToWrongServers() {
             Step step = machine.next(0);
