--- a/masticweir/src/test/java/org/masticweir/forward/ServerSelectorTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerSelectorTest.java
@@ -113,8 +113,8 @@
 
         /**
          * If a domain is cut off for seconds, the reports of its callers pause for two seconds when
-         * they run in other domains. This happened when each engine of the domain ran a report or
-         * two and new ones went to idle engines elsewhere.
+         * they run in other domains. This happens if new reports go to idle engines elsewhere
+         * because each engine of the domain runs a report or two.
          */
         @Test
         void ofOwnDomainAreChosenWithFewRequests() {
--- a/masticweir/src/test/java/org/masticweir/forward/SilenceTimerTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/SilenceTimerTest.java
@@ -49,9 +49,9 @@
 
         /**
          * Cached prompts must not shorten the timeout. After a restart of all routers, prompts that
-         * were still cached in the engines needed no prefill, and the timeout shrank to 580 ms,
-         * while a whole prefill takes 1,030 ms. Reports then moved from engine to engine, and none
-         * completed its prefill.
+         * are still cached in the engines need no prefill, and would shrink the timeout to 580 ms,
+         * while a whole prefill takes 1,030 ms. Reports would then move from engine to engine, and
+         * none would complete its prefill.
          */
         @Test
         void timeoutIsNotShortenedByCachedPrompts() {
@@ -80,7 +80,10 @@
         }
     }
 
-    /** An engine may drop a request without a sign; without its report, a caller waited 18 s. */
+    /**
+     * An engine may drop a request without a sign; without the engine's report, a caller waits 18
+     * s.
+     */
     @Nested
     class ReportOfEngine {
         private final SilenceTimer silence = timerOfSend(false);
--- a/masticweir/src/test/java/org/masticweir/forward/StreamDurationEstimatorTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/StreamDurationEstimatorTest.java
@@ -16,8 +16,8 @@
     }
 
     /**
-     * A draining router must not admit long reports that it can't finish: it admitted all that
-     * arrived in the first two seconds, and the long ones were cut off.
+     * A draining router must not admit long reports that it can't finish: if it admits all that
+     * arrive in the first two seconds, the long ones are cut off.
      */
     @Test
     void growsWithMaxOutputTokens() {
