--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
@@ -25,8 +25,8 @@
  * once {@code InFlight} counts it; call {@link #tick} every few milliseconds to decide on queued
  * requests; call {@link #markFinished} when an admitted request ends in any way.
  *
- * <p>Prevents that in overload the queue grows until every request in it is answered too late. A
- * request is refused as soon as it is predicted to miss its target, so the queue holds only
+ * <p>Without this, the queue would grow in overload until every request in it is answered too late.
+ * A request is refused as soon as it is predicted to miss its target, so the queue holds only
  * requests that can still be served in time.
  *
  * <p>Thread-safe: each call holds one lock for a short time.
--- a/masticweir/src/main/java/org/masticweir/limits/HeadWaitEstimate.java
+++ b/masticweir/src/main/java/org/masticweir/limits/HeadWaitEstimate.java
@@ -39,8 +39,8 @@
     /**
      * Returns the expected wait of the first request, or {@code fallbackMs} without recent samples.
      *
-     * <p>Prevents that engines stop taking requests while the mean of better times lets a queue
-     * grow that is not served. A long wait therefore counts before it has ended.
+     * <p>A long wait counts before it has ended. Without this, when engines stop taking requests,
+     * the mean of better times would let a queue grow that is not served.
      */
     double expectedMs(double fallbackMs, boolean isWaiting, long nowMs) {
         double freshness = meanMs > 0 ? Math.exp(-(nowMs - lastServedAtMs) / DECAY_MS) : 0;
--- a/masticweir/src/main/java/org/masticweir/limits/LatencySensitiveClasses.java
+++ b/masticweir/src/main/java/org/masticweir/limits/LatencySensitiveClasses.java
@@ -10,11 +10,11 @@
  * other classes little. A class with long requests is not latency-sensitive, however short its
  * target.
  *
- * <p>Prevents that lookups arrive while reports occupy all slots for seconds. Lookups get every
- * slot that becomes free, but these are too few, and a third of the lookups is late or refused.
- * Other classes therefore leave slots free, and a few latency-sensitive requests may wait within
- * the engines, which serve the lower priority number first as soon as a slot becomes free; a router
- * receives that information only with the next report.
+ * <p>Prevents late lookups while reports occupy all slots for seconds. Without this, lookups get
+ * every slot that becomes free, but these are too few, and a third of the lookups is late or
+ * refused. Other classes therefore leave slots free, and a few latency-sensitive requests may wait
+ * within the engines, which serve the lower priority number first as soon as a slot becomes free; a
+ * router detects a free slot only with the next report.
  */
 final class LatencySensitiveClasses {
     /**
