--- a/masticweir/src/main/java/org/masticweir/relay/InFlightRequests.java
+++ b/masticweir/src/main/java/org/masticweir/relay/InFlightRequests.java
@@ -58,8 +58,8 @@
 
     /**
      * Applies a change of the quarantine to the requests with {@code content}. A copy of a suspect
-     * content that runs on is evidence for it. Copies of a quarantined content that have just
-     * started would end their servers too, so they are cancelled.
+     * content that runs on shows that the content is harmless. Copies of a quarantined content that
+     * have just started would end their servers too, so they are cancelled.
      */
     void onQuarantineChange(ContentId content, Change change) {
         ImmutableList<Request> copies =
--- a/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Decides this when the answer begins, not when the request begins: the shutdown may start in
-     * between.
+     * Ends the connection with the answer if the router drains by then. Checked when the answer
+     * begins, as the shutdown may start after the request did.
      */
     private void closeConnectionIfDraining(HttpServerExchange exchange) {
         if (admission.isDraining()) {
