--- a/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
@@ -18,28 +18,32 @@
 import org.masticweir.catalog.ServiceSpec;
 import org.masticweir.catalog.Team;
 import org.masticweir.error.ErrorCode;
-import org.masticweir.forward.RequestPlan;
+import org.masticweir.forward.RequestParameters;
 import org.masticweir.http.HttpHeaders;
 import org.masticweir.id.TeamId;
 
-/** Takes callers' requests: finds route and team, reads the body, starts the run. */
+/** Handles callers' requests: finds route and team, reads the body, starts the request. */
 final class RelayHandler implements HttpHandler {
     private static final Logger LOG = LogManager.getLogger(RelayHandler.class);
 
-    /** When a caller may come back that was refused for want of a catalog, in ms. */
-    private static final long UNSURE_RETURN_MS = 300;
+    /**
+     * Retry delay for a caller that was refused because the catalog is missing or may be outdated,
+     * in ms.
+     */
+    private static final long NO_CONFIGURATION_RETRY_MS = 300;
 
     private final RelayContext context;
-    private final RelayIntake intake;
-    private final KeptConnections kept;
+    private final DrainingAdmission admission;
+    private final KeepAliveConnections connections;
 
-    RelayHandler(RelayContext context, RelayIntake intake, KeptConnections kept) {
+    RelayHandler(
+            RelayContext context, DrainingAdmission admission, KeepAliveConnections connections) {
         this.context = checkNotNull(context, "context");
-        this.intake = checkNotNull(intake, "intake");
-        this.kept = checkNotNull(kept, "kept");
+        this.admission = checkNotNull(admission, "admission");
+        this.connections = checkNotNull(connections, "connections");
     }
 
-    /** A request that is refused before it is read. */
+    /** Thrown when a request is refused before it starts. */
     private static final class Refusal extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -51,10 +55,10 @@
         }
     }
 
-    /** What the head of a request leads to. */
+    /** A request whose head was accepted, and what was found for it in the catalog. */
     private record Admitted(
             HttpHeaders headers,
-            CallerHead caller,
+            RequestMetadata caller,
             Route route,
             Optional<TeamId> team,
             ServiceName service,
@@ -63,23 +67,26 @@
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        intake.begin();
-        ExchangeEnd.onEnd(exchange, kept, intake::end);
-        exchange.addResponseCommitListener(this::endConnectionIfLeaving);
+        admission.requestStarted();
+        ExchangeCompletion.addListener(exchange, connections, admission::requestEnded);
+        exchange.addResponseCommitListener(this::closeConnectionIfDraining);
         try {
             Admitted admitted = admit(exchange, context.view().get());
             readBody(exchange, admitted);
         } catch (Refusal refusal) {
             refuse(exchange, refusal);
         } catch (RuntimeException e) {
-            LOG.error("relay: a request failed inside the router", e);
+            LOG.error("relay: request failed with an internal error", e);
             refuse(exchange, new Refusal(ErrorCode.INTERNAL, "internal error"));
         }
     }
 
-    /** With the answer, not with the request: the order to leave may come between them. */
-    private void endConnectionIfLeaving(HttpServerExchange exchange) {
-        if (intake.isLeaving()) {
+    /**
+     * Ends the connection with the answer if the router drains by then. Checked when the answer
+     * begins, as the shutdown may start after the request did.
+     */
+    private void closeConnectionIfDraining(HttpServerExchange exchange) {
+        if (admission.isDraining()) {
             exchange.setPersistent(false);
         }
     }
@@ -95,11 +102,11 @@
         String host = headers.first(Headers.HOST_STRING).orElse("");
         Route route =
                 catalog.route(host, exchange.getRequestURI())
-                        .orElseThrow(() -> unknown(view, ErrorCode.NOT_FOUND, "no such route"));
-        CallerHead caller = callerHead(headers);
-        checkIntake(route, caller, now, false);
+                        .orElseThrow(() -> notFound(view, ErrorCode.NOT_FOUND, "no such route"));
+        RequestMetadata caller = parseMetadata(headers);
+        checkAdmission(route, caller, now, false);
         Optional<Team> team = team(view, catalog, route, caller);
-        ServiceName service = route.service(caller.request().hashCode());
+        ServiceName service = route.service(caller.requestId().hashCode());
         Optional<EngineSpec> engine = catalog.service(service).flatMap(ServiceSpec::engine);
         exchange.setMaxEntitySize(catalog.limits().maxBodyBytes());
         if (exchange.getRequestContentLength() > catalog.limits().maxBodyBytes()) {
@@ -109,48 +116,51 @@
     }
 
     /**
-     * Refuses what may not end before this router does.
+     * Refuses a request that may not end before this router exits.
      *
-     * <p>Failure guarded against: a head that comes early says nothing of when its body ends, and a
-     * request that is whole only then is cut off at its server.
+     * <p>A head that arrives early does not show when its body will be complete. A request whose
+     * body is complete only late would be cut off at its server, so this is checked again after the
+     * body.
      *
-     * @param whole whether the body has been read, too; it is asked before and after
+     * @param isComplete whether the body has been read, too; this is called before and after
+     *     reading it
      */
-    private void checkIntake(Route route, CallerHead caller, long receivedMs, boolean whole)
+    private void checkAdmission(
+            Route route, RequestMetadata caller, long receivedMs, boolean isComplete)
             throws Refusal {
         long now = context.clock().nowMs();
-        OptionalLong needsMs =
+        OptionalLong expectedMs =
                 route.streams()
-                        ? context.pace().expectedMs(caller.size())
-                        : OptionalLong.of(receivedMs + waitMs(route, caller) - now);
-        boolean taken =
+                        ? context.durations().expectedMs(caller.size())
+                        : OptionalLong.of(receivedMs + timeoutMs(route, caller) - now);
+        boolean isAdmitted =
                 route.streams()
-                        ? intake.takesStream(needsMs, now)
-                        : intake.takes(needsMs.getAsLong(), now);
-        if (intake.isLeaving() && (whole || !taken)) {
+                        ? admission.admitsStream(expectedMs, now)
+                        : admission.admits(expectedMs.getAsLong(), now);
+        if (admission.isDraining() && (isComplete || !isAdmitted)) {
             LOG.info(
                     "relay: request {} {} {} ms after the order to leave, it needs {} ms of {} ms",
-                    caller.request(),
-                    taken ? "taken" : "not taken",
-                    intake.leavingForMs(now),
-                    needsMs.isPresent() ? needsMs.getAsLong() : "unknown",
-                    intake.leftMs(now));
+                    caller.requestId(),
+                    isAdmitted ? "taken" : "not taken",
+                    admission.drainingForMs(now),
+                    expectedMs.isPresent() ? expectedMs.getAsLong() : "unknown",
+                    admission.remainingMs(now));
         }
-        if (!taken) {
+        if (!isAdmitted) {
             throw new Refusal(ErrorCode.SHUTTING_DOWN, "this router is leaving");
         }
     }
 
-    /** Returns the time after which the request ends in any case. */
-    private static long waitMs(Route route, CallerHead caller) {
-        return Math.min(caller.waitMs().orElse(Long.MAX_VALUE), route.timeoutMs());
+    /** Returns the longest time that the request can take. */
+    private static long timeoutMs(Route route, RequestMetadata caller) {
+        return Math.min(caller.timeoutMs().orElse(Long.MAX_VALUE), route.timeoutMs());
     }
 
     /**
-     * Refuses a request whose length can be read in two ways.
+     * Refuses a request whose length is ambiguous.
      *
-     * <p>Failure guarded against: the router takes one length and a server the other, and the rest
-     * of the body runs there as a request that no caller sent.
+     * <p>Prevents request smuggling: if the router used one length and a server the other, the rest
+     * of the body would run at the server as a request that no caller sent.
      */
     private static void checkFraming(HttpServerExchange exchange) throws Refusal {
         int lengths = count(exchange, Headers.CONTENT_LENGTH_STRING);
@@ -166,34 +176,35 @@
                 : 0;
     }
 
-    private CallerHead callerHead(HttpHeaders headers) throws Refusal {
+    private RequestMetadata parseMetadata(HttpHeaders headers) throws Refusal {
         try {
-            return context.dialect().callerHead(headers);
+            return context.protocol().parseRequestMetadata(headers);
         } catch (IllegalArgumentException e) {
             throw new Refusal(ErrorCode.BAD_REQUEST, "malformed header field");
         }
     }
 
     private static Optional<Team> team(
-            RelayView view, Catalog catalog, Route route, CallerHead caller) throws Refusal {
+            RelayView view, Catalog catalog, Route route, RequestMetadata caller) throws Refusal {
         if (!catalog.hasTeams() || route.open()) {
             return Optional.empty();
         }
-        Optional<Team> team = caller.key().flatMap(catalog::teamOf);
+        Optional<Team> team = caller.teamKey().flatMap(catalog::teamOf);
         if (team.isEmpty()) {
-            throw unknown(view, ErrorCode.UNAUTHORIZED, "no such key");
+            throw notFound(view, ErrorCode.UNAUTHORIZED, "no such key");
         }
         return team;
     }
 
     /**
-     * Says that something does not exist only when this router is sure of it.
+     * Returns the refusal for something that this router's catalog lacks: a definite error if the
+     * catalog is up to date, and a retryable one otherwise.
      *
-     * <p>Failure guarded against: a router that has heard nothing for a while denies what a newer
-     * catalog has. A caller doesn't come back after such an answer, but does after this one.
+     * <p>A router that has received no updates for a while may lack what a newer catalog has.
+     * Callers don't retry after a definite error, but they do after the other one.
      */
-    private static Refusal unknown(RelayView view, ErrorCode code, String reason) {
-        return view.sure()
+    private static Refusal notFound(RelayView view, ErrorCode code, String reason) {
+        return view.isCatalogFresh()
                 ? new Refusal(code, reason)
                 : new Refusal(ErrorCode.NO_CONFIGURATION, "the configuration may be old");
     }
@@ -208,7 +219,7 @@
                 (ex, e) -> {
                     LOG.info(
                             "relay: body of request {} could not be read, {}",
-                            admitted.caller().request(),
+                            admitted.caller().requestId(),
                             e.getMessage());
                     boolean tooLong = e instanceof Receiver.RequestToLargeException;
                     ex.setPersistent(false);
@@ -222,7 +233,7 @@
 
     private void startOrRefuse(HttpServerExchange exchange, Admitted admitted, byte[] body) {
         try {
-            checkIntake(admitted.route(), admitted.caller(), admitted.receivedMs(), true);
+            checkAdmission(admitted.route(), admitted.caller(), admitted.receivedMs(), true);
             start(exchange, admitted, body);
         } catch (Refusal refusal) {
             refuse(exchange, refusal);
@@ -230,17 +241,17 @@
     }
 
     private void start(HttpServerExchange exchange, Admitted admitted, byte[] body) {
-        long waitMs = waitMs(admitted.route(), admitted.caller());
-        RequestPlan plan =
-                new RequestPlan(
+        long timeoutMs = timeoutMs(admitted.route(), admitted.caller());
+        RequestParameters plan =
+                new RequestParameters(
                         admitted.route(),
                         admitted.service(),
                         admitted.engine(),
                         admitted.caller().size(),
                         admitted.caller().prompt(),
-                        admitted.caller().afterEvent(),
+                        admitted.caller().lastEventId(),
                         admitted.receivedMs(),
-                        admitted.receivedMs() + waitMs);
+                        admitted.receivedMs() + timeoutMs);
         RelayRequest request =
                 RelayRequest.of(
                         exchange,
@@ -249,7 +260,7 @@
                         admitted.team(),
                         admitted.headers(),
                         body);
-        new RelayRun(context, request, exchange).start();
+        new RequestLifecycle(context, request, exchange).start();
     }
 
     private void refuse(HttpServerExchange exchange, Refusal refusal) {
@@ -259,15 +270,16 @@
                 exchange.getRequestURI(),
                 refusal.code,
                 refusal.getMessage());
-        context.metrics().refusedUnread(refusal.code);
-        new CallerAnswer(exchange, () -> {})
-                .error(refusal.code, returnMs(refusal.code), refusal.getMessage());
+        context.metrics().countRefusedUnread(refusal.code);
+        new CallerAnswerWriter(exchange, () -> {})
+                .sendError(refusal.code, retryAfterMs(refusal.code), refusal.getMessage());
     }
 
-    private OptionalLong returnMs(ErrorCode code) {
+    private OptionalLong retryAfterMs(ErrorCode code) {
         return switch (code) {
-            case NO_CONFIGURATION -> OptionalLong.of(UNSURE_RETURN_MS);
-            case SHUTTING_DOWN -> OptionalLong.of(intake.balancerMs(context.clock().nowMs()));
+            case NO_CONFIGURATION -> OptionalLong.of(NO_CONFIGURATION_RETRY_MS);
+            case SHUTTING_DOWN ->
+                    OptionalLong.of(admission.balancerDetectionLeftMs(context.clock().nowMs()));
             default -> OptionalLong.empty();
         };
     }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
@@ -4,21 +4,21 @@
 
 import io.undertow.server.HttpServerExchange;
 import java.util.Optional;
-import org.masticweir.forward.RequestPlan;
+import org.masticweir.forward.RequestParameters;
 import org.masticweir.forward.Step;
 import org.masticweir.http.HttpCall;
 import org.masticweir.http.HttpHeaders;
 import org.masticweir.id.TeamId;
 
 /**
- * A caller's request as it was read; never changed.
+ * A caller's request as it was received; immutable.
  *
- * @param path path and query as they came
+ * @param path path and query as received
  * @param body not copied, as it may be long and is only read
  */
 record RelayRequest(
-        RequestPlan plan,
-        CallerHead caller,
+        RequestParameters plan,
+        RequestMetadata caller,
         Optional<TeamId> team,
         String method,
         String path,
@@ -36,8 +36,8 @@
 
     static RelayRequest of(
             HttpServerExchange exchange,
-            RequestPlan plan,
-            CallerHead caller,
+            RequestParameters plan,
+            RequestMetadata caller,
             Optional<TeamId> team,
             HttpHeaders headers,
             byte[] body) {
@@ -47,16 +47,20 @@
         return new RelayRequest(plan, caller, team, method, path, headers, body);
     }
 
-    /** Returns the caller's id of the request. */
+    /** Returns the caller's id of the attempt. */
     String id() {
-        return caller.request();
+        return caller.requestId();
     }
 
-    /** Returns the call that carries out {@code send}. */
-    HttpCall callFor(Step.Send send, Dialect dialect, long nowMs) {
+    /** Returns the HTTP call for {@code send}. */
+    HttpCall toCall(Step.Send send, PlatformProtocol protocol, long nowMs) {
         long leftMs = Math.max(1, plan.expiresMs() - nowMs);
-        SendHead head = new SendHead(caller.request(), send, team, leftMs);
+        SendMetadata head = new SendMetadata(caller.requestId(), send, team, leftMs);
         return new HttpCall(
-                method, send.server().address(), path, dialect.toServer(headers, head), body);
+                method,
+                send.server().address(),
+                path,
+                protocol.headersToServer(headers, head),
+                body);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayView.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayView.java
@@ -9,19 +9,20 @@
 import java.util.Optional;
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.Catalog;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.catalog.ServiceName;
 
 /**
- * What the traffic thread goes by; immutable, published by the control thread.
+ * Snapshot of the deployment that the traffic thread uses; immutable, published by the control
+ * thread.
  *
- * @param catalog empty until one was read
- * @param sure whether the catalog is fresh enough to say that something does not exist
+ * @param catalog empty until one was received
+ * @param isCatalogFresh whether the catalog is fresh enough to report that something does not exist
  */
 record RelayView(
         Optional<Catalog> catalog,
         ImmutableListMultimap<ServiceName, BackendServer> servers,
-        boolean sure) {
+        boolean isCatalogFresh) {
     private static final RelayView EMPTY =
             new RelayView(Optional.empty(), ImmutableListMultimap.of(), false);
 
@@ -34,13 +35,15 @@
         return EMPTY;
     }
 
-    static RelayView of(Optional<Catalog> catalog, List<BackendServer> servers, boolean sure) {
-        return new RelayView(catalog, Multimaps.index(servers, BackendServer::service), sure);
+    static RelayView of(
+            Optional<Catalog> catalog, List<BackendServer> servers, boolean isCatalogFresh) {
+        return new RelayView(
+                catalog, Multimaps.index(servers, BackendServer::service), isCatalogFresh);
     }
 
-    /** Returns the server in that life; empty if it is gone or has started again. */
-    Optional<BackendServer> server(ServerLife life) {
-        return servers.values().stream().filter(s -> s.life().equals(life)).findAny();
+    /** Returns the server in that incarnation; empty if it is gone or has restarted. */
+    Optional<BackendServer> server(ServerIncarnation incarnation) {
+        return servers.values().stream().filter(s -> s.incarnation().equals(incarnation)).findAny();
     }
 
     ImmutableList<BackendServer> serversOf(ServiceName service) {
--- a/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
@@ -10,14 +10,14 @@
 import org.masticweir.catalog.Catalog;
 import org.masticweir.catalog.ServiceName;
 import org.masticweir.forward.EngineReport;
-import org.masticweir.forward.ServerUse;
+import org.masticweir.forward.ServerLoad;
 import org.masticweir.forward.Step;
 import org.masticweir.id.ContentId;
 import org.masticweir.permits.PermitDecision;
 
 /**
- * Writes one line for each decision on one request, with the request's id and what decided it; on
- * the traffic thread.
+ * Logs one line for each decision on a request, with the request's id and the reasons; runs on the
+ * traffic thread.
  */
 final class RequestLog {
     private static final Logger LOG = LogManager.getLogger(RequestLog.class);
@@ -32,9 +32,9 @@
         receivedMs = request.plan().receivedMs();
     }
 
-    /** The request is sent, for the {@code number}-th time. */
-    void goes(Step.Send send, int number) {
-        ServerUse use = context.loads().use(send.server().life());
+    /** Logs a send; {@code number} counts the sends of the request from 1. */
+    void logSend(Step.Send send, int number) {
+        ServerLoad load = context.loads().totalLoad(send.server().incarnation());
         LOG.info(
                 "relay: request {} goes to {} in {}, send {} after event {}, {}; {} running and {}"
                         + " reading there, copy at {}, config {}",
@@ -42,25 +42,25 @@
                 send.server().id(),
                 send.server().domain(),
                 number,
-                text(send.afterEvent()),
+                text(send.lastEventId()),
                 send.fromCopy() ? "from its copy" : "anew",
-                use.running(),
-                use.reading(),
-                send.holder().map(h -> h.id().value()).orElse("none"),
+                load.running(),
+                load.prefills(),
+                send.copyHolder().map(h -> h.id().value()).orElse("none"),
                 context.view().get().catalog().map(Catalog::version).orElse(0L));
     }
 
-    /** Engines were asked for the prompt. */
-    void searched(int asked, Optional<BackendServer> keeper) {
+    /** Logs which engine has the request's prompt in its cache. */
+    void logPromptSearch(int askedCount, Optional<BackendServer> engine) {
         LOG.info(
                 "relay: request {}: its prompt is kept by {}, {} engines asked",
                 id,
-                keeper.map(k -> k.id().value()).orElse("none"),
-                asked);
+                engine.map(e -> e.id().value()).orElse("none"),
+                askedCount);
     }
 
-    /** Something happened at the server of the send that left at {@code sentMs}. */
-    void at(BackendServer server, String what, long sentMs) {
+    /** Logs an event at the server of the send that was sent at {@code sentMs}. */
+    void logServerEvent(BackendServer server, String what, long sentMs) {
         LOG.info(
                 "relay: request {}: {} in {} {} after {} ms",
                 id,
@@ -71,14 +71,14 @@
     }
 
     /**
-     * A send that left at {@code sentMs} ended without a whole answer, {@code events} after its
-     * start.
+     * Logs that the send of {@code sentMs} ended without a complete answer, after {@code events}
+     * events.
      */
-    void lost(BackendServer server, String what, long sentMs, int events, ContentId content) {
+    void logLoss(BackendServer server, String what, long sentMs, int events, ContentId content) {
         LOG.info(
                 "relay: request {}: {} in {} {} after {} ms and {} events, content {}",
                 id,
-                server.life(),
+                server.incarnation(),
                 server.domain(),
                 what,
                 context.clock().nowMs() - sentMs,
@@ -86,42 +86,47 @@
                 content);
     }
 
-    /** A permit to send the request again was asked for at {@code askedMs}. */
-    void repeat(ServiceName service, PermitDecision decision, long askedMs) {
+    /** Logs the decision on a retry permit that was requested at {@code requestedMs}. */
+    void logRetryPermit(ServiceName service, PermitDecision decision, long requestedMs) {
         LOG.info(
                 "relay: request {}: repeat for {} {} after {} ms",
                 id,
                 service,
                 text(decision),
-                context.clock().nowMs() - askedMs);
+                context.clock().nowMs() - requestedMs);
     }
 
     private static String text(PermitDecision decision) {
-        return decision.granted() ? "granted" : "denied for the next " + decision.againMs() + " ms";
+        return decision.isGranted()
+                ? "granted"
+                : "denied for the next " + decision.retryAfterMs() + " ms";
     }
 
-    /** An engine that has not begun the request in time reports, or does not. */
-    void reported(BackendServer server, Optional<EngineReport> report, long sentMs) {
-        at(server, "reports " + report.map(EngineReport::toString).orElse("nothing"), sentMs);
+    /**
+     * Logs the report of an engine that has not started the request in time, or that there is none.
+     */
+    void logReport(BackendServer server, Optional<EngineReport> report, long sentMs) {
+        logServerEvent(
+                server, "reports " + report.map(EngineReport::toString).orElse("nothing"), sentMs);
     }
 
-    /** A permit was asked for at {@code askedMs}. */
-    void permit(BackendServer server, PermitDecision decision, long askedMs) {
+    /** Logs the decision on a server permit that was requested at {@code requestedMs}. */
+    void logServerPermit(BackendServer server, PermitDecision decision, long requestedMs) {
         LOG.info(
                 "relay: request {}: permit for {} {} after {} ms, it takes {}",
                 id,
                 server.id(),
                 text(decision),
-                context.clock().nowMs() - askedMs,
-                context.limits().text(server.life()));
+                context.clock().nowMs() - requestedMs,
+                context.limits().describe(server.incarnation()));
     }
 
-    /** A stream goes on after a pause. */
-    void goesOn(BackendServer server, long pauseMs) {
+    /** Logs that a stream resumed after a pause. */
+    void logResume(BackendServer server, long pauseMs) {
         LOG.info("relay: request {} goes on at {} after {} ms", id, server.id(), pauseMs);
     }
 
-    void answered(String what, int sends) {
+    void logAnswer(String what, int sends) {
         LOG.info(
                 "relay: request {} answered, {} after {} ms and {} sends",
                 id,
@@ -130,7 +135,7 @@
                 sends);
     }
 
-    void ended(Step.End end, int sends) {
+    void logEnd(Step.End end, int sends) {
         LOG.info(
                 "relay: request {} ends {} {} after {} ms and {} sends, {}",
                 id,
@@ -141,9 +146,9 @@
                 end.reason());
     }
 
-    /** The caller left; {@code where} tells how far the request had come. */
-    void left(String where) {
-        LOG.info("relay: request {} was left by its caller after {} ms, {}", id, ageMs(), where);
+    /** Logs that the caller disconnected; {@code stage} states how far the request had come. */
+    void logCallerLeft(String stage) {
+        LOG.info("relay: request {} was left by its caller after {} ms, {}", id, ageMs(), stage);
     }
 
     static String text(OptionalLong event) {
--- a/masticweir/src/main/java/org/masticweir/relay/RunTimer.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestTimer.java
@@ -7,18 +7,20 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The one timer of a request: setting it anew drops the one before; on the traffic thread. */
-final class RunTimer implements AutoCloseable {
+/**
+ * The only timer of a request: setting it replaces the previous one; runs on the traffic thread.
+ */
+final class RequestTimer implements AutoCloseable {
     private final XnioIoThread thread;
     private Optional<XnioExecutor.Key> key = Optional.empty();
     private int number;
 
-    RunTimer(XnioIoThread thread) {
+    RequestTimer(XnioIoThread thread) {
         this.thread = checkNotNull(thread, "thread");
     }
 
-    /** Runs {@code then} after {@code ms} unless the timer is set or closed before. */
-    void set(long ms, Runnable then) {
+    /** Runs {@code task} after {@code ms}, unless the timer is set again or closed before. */
+    void set(long ms, Runnable task) {
         close();
         int own = number;
         key =
@@ -26,14 +28,14 @@
                         thread.executeAfter(
                                 () -> {
                                     if (own == number) {
-                                        then.run();
+                                        task.run();
                                     }
                                 },
                                 ms,
                                 TimeUnit.MILLISECONDS));
     }
 
-    /** Drops the timer; it may be set again. */
+    /** Cancels the timer; it may be set again. */
     @Override
     public void close() {
         number++;
--- /dev/null
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerProbe.java
@@ -0,0 +1,120 @@
+package org.masticweir.relay;
+
+import static com.google.common.base.Preconditions.checkNotNull;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
+import org.masticweir.catalog.BackendServer;
+import org.masticweir.catalog.Catalog;
+import org.masticweir.catalog.ServerIncarnation;
+import org.masticweir.catalog.ServiceSpec;
+import org.masticweir.http.HttpCall;
+import org.masticweir.http.HttpCaller;
+import org.masticweir.http.HttpOutcome;
+import org.masticweir.permits.SharedLimits;
+
+/**
+ * Determines whether a server ended or only a connection to it broke; owned by the traffic thread.
+ *
+ * <p>A reset, a corrupt answer or a lost packet breaks a connection in the same way as the end of
+ * its server. A server that is alive answers the probe at once. Concurrent queries about the same
+ * incarnation share one probe.
+ */
+final class ServerProbe {
+    /** Timeout of a probe, in ms: one round trip and the response time of a busy server. */
+    private static final long TIMEOUT_MS = 300;
+
+    /**
+     * Limit on the calls of one probe: the first may use a pooled connection that broke together
+     * with the others.
+     */
+    private static final int MAX_CALLS = 2;
+
+    private final HttpCaller calls;
+    private final PlatformProtocol protocol;
+    private final SharedLimits limits;
+    private final AnswerMetadataRecorder answerMetadata;
+    private final Map<ServerIncarnation, List<Consumer<Result>>> pending = new HashMap<>();
+
+    /** Result of a probe. */
+    enum Result {
+        ENDED,
+        LIVES,
+        /** The server does not accept connections. */
+        UNREACHED,
+        /** The probe was not possible or not conclusive. */
+        UNKNOWN
+    }
+
+    ServerProbe(
+            HttpCaller calls,
+            PlatformProtocol protocol,
+            SharedLimits limits,
+            AnswerMetadataRecorder answerMetadata) {
+        this.calls = checkNotNull(calls, "calls");
+        this.protocol = checkNotNull(protocol, "protocol");
+        this.limits = checkNotNull(limits, "limits");
+        this.answerMetadata = checkNotNull(answerMetadata, "answerMetadata");
+    }
+
+    /** Calls {@code callback} once with the result of a probe of {@code server}. */
+    void probe(BackendServer server, Optional<Catalog> catalog, Consumer<Result> callback) {
+        List<Consumer<Result>> others = pending.get(server.incarnation());
+        if (others != null) {
+            others.add(callback);
+            return;
+        }
+        Optional<ServiceSpec> spec = catalog.flatMap(c -> c.service(server.service()));
+        Optional<HttpCall> call = spec.flatMap(s -> callTo(server, s));
+        if (call.isEmpty() || answerMetadata.isPausing(server.incarnation())) {
+            callback.accept(Result.UNKNOWN);
+            return;
+        }
+        List<Consumer<Result>> callbacks = new ArrayList<>(List.of(callback));
+        pending.put(server.incarnation(), callbacks);
+        call(server, call.get(), spec.get().engine().isPresent(), 1);
+    }
+
+    private void call(BackendServer server, HttpCall call, boolean isEngine, int number) {
+        limits.recordProbe(server.incarnation());
+        CompletableFuture<HttpOutcome> answer = calls.call(call, TIMEOUT_MS);
+        answer.thenAccept(
+                outcome -> {
+                    answerMetadata.recordCall(server.incarnation(), outcome);
+                    if (outcome instanceof HttpOutcome.MayHaveBeenSent && number < MAX_CALLS) {
+                        call(server, call, isEngine, number + 1);
+                    } else {
+                        Result result = toResult(server, isEngine, outcome);
+                        pending.remove(server.incarnation()).forEach(c -> c.accept(result));
+                    }
+                });
+    }
+
+    private Optional<HttpCall> callTo(BackendServer server, ServiceSpec spec) {
+        if (spec.engine().isPresent()) {
+            return Optional.of(protocol.engineProbeCall(server));
+        }
+        return spec.healthPath().isEmpty()
+                ? Optional.empty()
+                : Optional.of(protocol.healthProbeCall(server, spec.healthPath()));
+    }
+
+    private Result toResult(BackendServer server, boolean isEngine, HttpOutcome outcome) {
+        if (outcome instanceof HttpOutcome.Answered answered) {
+            boolean isOtherServer = protocol.isWrongServerStatus(answered.answer().status());
+            boolean isOtherIncarnation =
+                    isEngine
+                            && EngineStatusProbe.parseReport(protocol, outcome)
+                                    .filter(r -> !r.isFrom(server.incarnation()))
+                                    .isPresent();
+            return isOtherServer || isOtherIncarnation ? Result.ENDED : Result.LIVES;
+        }
+        boolean isNotReached = outcome instanceof HttpOutcome.NeverSent && !outcome.isWithheld();
+        return isNotReached ? Result.UNREACHED : Result.UNKNOWN;
+    }
+}
--- a/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
@@ -16,44 +16,47 @@
 import org.xnio.XnioIoThread;
 
 /**
- * One send of a request to a server, whose answer is checked before anyone sees it.
+ * One send of a request to a server; checks the answer before it is passed on. Runs on the traffic
+ * thread.
  *
- * <p>Each send has a connection of its own: an answer that comes late or twice then meets no other
- * request, and a connection that its server has just closed is never used. New connections cost 2
- * in 1,000 of what requests earn, measured on a calm day.
+ * <p>Each send has its own connection: a late or duplicate answer then can't be taken for the
+ * answer to another request, and a connection that its server has just closed is never used. New
+ * connections cost 2 in 1,000 of what requests earn, measured on a calm day.
  *
- * <p>Failures guarded against: an answer to another request arrives first on the connection, an
- * answer bears no signature, a body is longer than any that is expected. Such an answer belongs to
- * nobody: the send is lost and its connection is closed. Runs on the traffic thread.
+ * <p>If an answer to another request arrives first on the connection, an answer has no signature,
+ * or a body is longer than expected, the answer is discarded: the send is lost and its connection
+ * is closed.
  */
 final class ServerSend implements AutoCloseable {
-    /** Longest whole answer kept, in bytes. */
+    /** Limit on the size of a complete answer. */
     private static final int MAX_ANSWER_BYTES = 8 << 20;
 
-    private final String request;
+    private final String requestId;
     private final boolean streams;
-    private final Dialect dialect;
+    private final PlatformProtocol protocol;
     private final SendListener listener;
     private final EventSplitter splitter = new EventSplitter();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Optional<HttpStream> http = Optional.empty();
     private HttpHead head;
-    private ServerWord word;
-    private boolean over;
+    private AnswerMetadata metadata;
+    private boolean isEnded;
 
-    private ServerSend(String request, boolean streams, Dialect dialect, SendListener listener) {
-        this.request = checkNotNull(request, "request");
+    private ServerSend(
+            String requestId, boolean streams, PlatformProtocol protocol, SendListener listener) {
+        this.requestId = checkNotNull(requestId, "requestId");
         this.streams = streams;
-        this.dialect = checkNotNull(dialect, "dialect");
+        this.protocol = checkNotNull(protocol, "protocol");
         this.listener = checkNotNull(listener, "listener");
     }
 
     /**
-     * Connects to {@code address} and sends what {@code call} returns then.
+     * Connects to {@code address} and sends the call that {@code call} then returns.
      *
-     * @param call asked once the connection stands; empty if there is nothing to send any more
-     * @param request id that the answer must bear
-     * @param streams whether a success is a series of events
+     * @param call evaluated once the connection is established; empty if there is no longer
+     *     anything to send
+     * @param requestId id that the answer must have
+     * @param streams whether a successful answer is an event stream
      */
     static ServerSend open(
             XnioIoThread thread,
@@ -61,76 +64,76 @@
             InetSocketAddress address,
             Supplier<Optional<HttpCall>> call,
             long connectTimeoutMs,
-            String request,
+            String requestId,
             boolean streams,
-            Dialect dialect,
+            PlatformProtocol protocol,
             SendListener listener) {
-        ServerSend send = new ServerSend(request, streams, dialect, listener);
-        HttpStreamListener bytes = send.new Bytes();
+        ServerSend send = new ServerSend(requestId, streams, protocol, listener);
+        HttpStreamListener bytes = send.new AnswerReader();
         HttpStream stream =
                 HttpStream.open(thread, buffers, address, call, connectTimeoutMs, bytes);
         send.http = Optional.of(stream);
-        if (send.over) {
+        if (send.isEnded) {
             stream.close();
         }
         return send;
     }
 
-    /** Drops the connection; nothing is heard of it any more. */
+    /** Closes the connection; the listener receives no further events. */
     @Override
     public void close() {
-        over = true;
+        isEnded = true;
         http.ifPresent(HttpStream::close);
     }
 
-    private boolean isSeries() {
+    private boolean isEventStream() {
         return streams && head.isSuccess();
     }
 
-    private void unusable(String reason) {
-        if (over) {
+    private void discard(String reason) {
+        if (isEnded) {
             return;
         }
         close();
-        listener.lost(reason);
+        listener.onLost(reason);
     }
 
-    /** Reads the answer's bytes. */
-    private final class Bytes implements HttpStreamListener {
+    /** Handles the bytes of the answer. */
+    private final class AnswerReader implements HttpStreamListener {
         @Override
         public void head(HttpHead received) {
-            if (over) {
+            if (isEnded) {
                 return;
             }
             head = received;
-            word = dialect.serverWord(received);
-            if (word.notRun()) {
-                if (!word.wrongServer()) {
-                    listener.head(word);
+            metadata = protocol.parseAnswerMetadata(received);
+            if (metadata.isNotRun()) {
+                if (!metadata.isWrongServer()) {
+                    listener.onHead(metadata);
                 }
                 return;
             }
-            if (word.request().isPresent() && !word.request().get().equals(request)) {
-                unusable("the answer is to another request");
-            } else if (received.isSuccess() && !word.signed()) {
-                unusable("the answer bears no signature");
+            if (metadata.requestId().isPresent() && !metadata.requestId().get().equals(requestId)) {
+                discard("the answer is to another request");
+            } else if (received.isSuccess() && !metadata.isSigned()) {
+                discard("the answer has no signature");
             } else {
-                listener.head(word);
+                listener.onHead(metadata);
             }
         }
 
         @Override
         public void bytes(ByteBuffer part) throws IOException {
-            if (over) {
+            if (isEnded) {
                 part.position(part.limit());
                 return;
             }
-            if (isSeries()) {
-                splitter.take(
+            if (isEventStream()) {
+                splitter.feed(
                         part,
                         (event, id) -> {
-                            if (!over) {
-                                listener.event(head, event, id);
+                            if (!isEnded) {
+                                listener.onEvent(head, event, id);
                             }
                         });
                 return;
@@ -145,34 +148,34 @@
 
         @Override
         public void end() {
-            if (over) {
+            if (isEnded) {
                 return;
             }
-            if (word.notRun()) {
-                over = true;
-                listener.refused(head, word);
-            } else if (!isSeries()) {
-                over = true;
-                listener.answered(head, word, body.toByteArray());
+            if (metadata.isNotRun()) {
+                isEnded = true;
+                listener.onRefusal(head, metadata);
+            } else if (!isEventStream()) {
+                isEnded = true;
+                listener.onAnswer(head, metadata, body.toByteArray());
             } else if (splitter.isAtEventEnd()) {
-                over = true;
-                listener.eventsEnded(head);
+                isEnded = true;
+                listener.onStreamEnd(head);
             } else {
-                unusable("the answer ends within an event");
+                discard("the answer ends within an event");
             }
         }
 
         @Override
         public void lost(boolean sent) {
-            if (over) {
+            if (isEnded) {
                 return;
             }
             if (sent) {
-                unusable("the connection broke");
+                discard("the connection broke");
                 return;
             }
-            over = true;
-            listener.notSent();
+            isEnded = true;
+            listener.onNotSent();
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/ServerWordNews.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerUpdate.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.Optional;
 import org.masticweir.catalog.BackendServer;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.catalog.ServiceName;
 import org.masticweir.http.IpAddress;
 import org.masticweir.id.DomainId;
@@ -15,34 +15,37 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The word on one backend server as of a revision of the store; immutable.
+ * The state of one backend server as of a revision of the store; immutable.
  *
  * @param server empty if its entry was removed
  */
-record ServerWordNews(EngineId id, long revision, Optional<BackendServer> server) {
+record ServerUpdate(EngineId id, long revision, Optional<BackendServer> server) {
     private static final int FIELDS = 9;
     private static final int MAX_TEXT_BYTES = 256;
 
-    ServerWordNews {
+    ServerUpdate {
         checkNotNull(id, "id");
         checkNotNull(server, "server");
     }
 
-    static ServerWordNews present(BackendServer server, long revision) {
-        return new ServerWordNews(server.id(), revision, Optional.of(server));
+    static ServerUpdate present(BackendServer server, long revision) {
+        return new ServerUpdate(server.id(), revision, Optional.of(server));
     }
 
-    static ServerWordNews removed(EngineId id, long revision) {
-        return new ServerWordNews(id, revision, Optional.empty());
+    static ServerUpdate removed(EngineId id, long revision) {
+        return new ServerUpdate(id, revision, Optional.empty());
     }
 
-    /** Returns what it says, for the log. */
-    String state() {
+    /** Returns a description for the log. */
+    String describe() {
         if (server.isEmpty()) {
             return "is gone";
         }
         BackendServer listed = server.get();
-        String since = listed.life().isStartKnown() ? ", started " + listed.life().startedMs() : "";
+        String since =
+                listed.incarnation().isStartKnown()
+                        ? ", started " + listed.incarnation().startedMs()
+                        : "";
         return (listed.leaving() ? "is leaving " : "serves ") + listed.service() + since;
     }
 
@@ -54,10 +57,12 @@
         out.packString(server.map(s -> s.domain().value()).orElse(""));
         out.packInt(server.map(BackendServer::slots).orElse(0));
         out.packBoolean(server.map(BackendServer::leaving).orElse(false));
-        out.packLong(server.map(s -> s.life().startedMs()).orElse(ServerLife.UNKNOWN_START));
+        out.packLong(
+                server.map(s -> s.incarnation().startedMs())
+                        .orElse(ServerIncarnation.UNKNOWN_START));
     }
 
-    static ServerWordNews decode(MessageUnpacker in) throws IOException {
+    static ServerUpdate decode(MessageUnpacker in) throws IOException {
         try (Fields f = Fields.open(in, FIELDS)) {
             EngineId id = EngineId.of(f.text(MAX_TEXT_BYTES));
             long revision = f.int64();
@@ -73,7 +78,7 @@
             }
             return present(
                     new BackendServer(
-                            ServerLife.of(id, startedMs),
+                            ServerIncarnation.of(id, startedMs),
                             ServiceName.of(service),
                             IpAddress.parse(address),
                             DomainId.of(domain),
--- a/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
@@ -6,70 +6,74 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.masticweir.forward.EngineReport;
-import org.masticweir.forward.SendSilence;
+import org.masticweir.forward.SilenceTimer;
 
 /**
- * Finds out whether a server that is silent for too long still has a request; on the traffic
- * thread.
+ * Determines whether a server that has been silent for too long still has a request; runs on the
+ * traffic thread.
  */
 final class SilenceInquiry {
     private final RelayContext context;
     private final RequestLog log;
-    private final String request;
-    private final SendSilence silence;
+    private final String requestId;
+    private final SilenceTimer silence;
 
-    SilenceInquiry(RelayContext context, RequestLog log, String request, SendSilence silence) {
+    SilenceInquiry(RelayContext context, RequestLog log, String requestId, SilenceTimer silence) {
         this.context = checkNotNull(context, "context");
         this.log = checkNotNull(log, "log");
-        this.request = checkNotNull(request, "request");
+        this.requestId = checkNotNull(requestId, "requestId");
         this.silence = checkNotNull(silence, "silence");
     }
 
     /**
-     * Tells {@code then}, once, why the server is lost, or nothing if it gets more time.
+     * Calls {@code callback} once with the reason why the server is lost, or with nothing if it
+     * gets more time.
      *
-     * @param wanted whether an answer still matters; if not, it changes nothing
+     * @param isRelevant whether the result still matters; if not, {@code callback} is not called
      */
-    void start(long nowMs, BooleanSupplier wanted, Consumer<Optional<String>> then) {
-        if (silence.provesLoss()) {
-            then.accept(Optional.of("silent for " + silence.silentMs(nowMs) + " ms"));
-        } else if (context.notices().isPausing(silence.server().life())) {
-            then.accept(awaitPause(nowMs));
+    void start(long nowMs, BooleanSupplier isRelevant, Consumer<Optional<String>> callback) {
+        if (silence.isLossCertain()) {
+            callback.accept(Optional.of("silent for " + silence.silentMs(nowMs) + " ms"));
+        } else if (context.answerMetadata().isPausing(silence.server().incarnation())) {
+            callback.accept(checkDuringPause(nowMs));
         } else {
-            AliveCheck.ask(
+            EngineStatusProbe.probe(
                     context,
                     silence.server(),
                     report -> {
-                        if (wanted.getAsBoolean()) {
-                            log.reported(silence.server(), report, silence.sentMs());
-                            then.accept(loss(report));
+                        if (isRelevant.getAsBoolean()) {
+                            log.logReport(silence.server(), report, silence.sentMs());
+                            callback.accept(lossReason(report));
                         }
                     });
         }
     }
 
-    /** A server that takes no calls is believed to live unless other sends to it have failed. */
-    private Optional<String> awaitPause(long nowMs) {
+    /**
+     * Returns the loss of a server during its pause, when it takes no calls. It is assumed to be
+     * alive unless other sends to it have failed.
+     */
+    private Optional<String> checkDuringPause(long nowMs) {
         if (context.health().isDown(silence.server(), nowMs)) {
-            return Optional.of("failed while it took no calls");
+            return Optional.of("failed during its pause");
         }
-        silence.postpone(nowMs);
+        silence.restart(nowMs);
         return Optional.empty();
     }
 
-    private Optional<String> loss(Optional<EngineReport> report) {
+    private Optional<String> lossReason(Optional<EngineReport> report) {
         if (report.isEmpty()) {
             return Optional.of("no sign of life");
         }
-        if (!report.get().isOf(silence.server().life())) {
-            context.health().gone(silence.server());
+        if (!report.get().isFrom(silence.server().incarnation())) {
+            context.health().recordGone(silence.server());
             return Optional.of("has started again");
         }
         long now = context.clock().nowMs();
-        if (!silence.reported(report.get(), request, now)) {
+        if (!silence.recordReport(report.get(), requestId, now)) {
             return Optional.of("does not have the request any more");
         }
-        context.health().answered(silence.server().life(), now);
+        context.health().recordAnswer(silence.server().incarnation(), now);
         return Optional.empty();
     }
 }
--- a/masticweir/src/test/java/org/masticweir/forward/EngineOverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/EngineOverloadTest.java
@@ -17,11 +17,12 @@
 import org.masticweir.catalog.BackendServer;
 
 /**
- * Replays a burst while half of the engines are lost: callers of reports are refused though engines
- * end reading a prompt every hundred ms, and those that waited longest are refused first.
+ * Simulates a burst while half of the engines are lost. Without a queue, callers of reports are
+ * refused although engines end a prefill every hundred ms, and the requests that waited longest are
+ * refused first.
  *
- * <p>Eight engines that read 8 prompts a second; 12 reports a second for 6 s. A prompt is read in
- * 1.03 s alone and in twice that beside another; a report runs for 5.5 s.
+ * <p>Eight engines process 8 prompts a second; 12 reports a second arrive for 6 s. A prefill takes
+ * 1.03 s alone and twice as long beside another one; a report runs for 5.5 s.
  */
 class EngineOverloadTest {
     private static final long GAP_MS = 83;
@@ -31,53 +32,53 @@
     private static final long TICK_MS = 10;
     private static final long END_MS = 12_000;
 
-    /** How a policy ended each report. */
+    /** Results of a policy. */
     private record Outcome(int served, int refused, int overtaken) {}
 
-    /** What happens to a run at a time. */
-    private record Due(long atMs, Runnable what) {}
+    /** Action of the simulation at a given time. */
+    private record ScheduledAction(long atMs, Runnable action) {}
 
-    /** One report as the replay sees it. */
+    /** State of one report in the simulation. */
     private static final class Report {
         final int number;
         final long arrivedMs;
-        final Course course;
+        final RequestStateMachine stateMachine;
 
-        Report(int number, long arrivedMs, Course course) {
+        Report(int number, long arrivedMs, RequestStateMachine machine) {
             this.number = number;
             this.arrivedMs = arrivedMs;
-            this.course = course;
+            this.stateMachine = machine;
         }
     }
 
-    private final ForwardWorld world = new ForwardWorld().domain("a", 4).domain("b", 4);
-    private final PriorityQueue<Due> due =
+    private final ForwardFixture fixture = new ForwardFixture().domain("a", 4).domain("b", 4);
+    private final PriorityQueue<ScheduledAction> scheduledActions =
             new PriorityQueue<>((a, b) -> Long.compare(a.atMs(), b.atMs()));
     private final Random random = new Random(5);
 
-    /** What a policy does with a report that waits; returns whether it is done with it. */
+    /** Returns the next step of a waiting report. */
     private interface Policy {
         Step next(Report report, long nowMs);
     }
 
-    private RequestPlan planAt(long nowMs) {
-        RequestPlan plan = ForwardWorld.planOfSize(ForwardWorld.PROMPT);
-        return ForwardWorld.at(plan, nowMs, nowMs + 25_000);
+    private RequestParameters parametersAt(long nowMs) {
+        RequestParameters parameters = ForwardFixture.parametersOfSize(ForwardFixture.PROMPT);
+        return ForwardFixture.at(parameters, nowMs, nowMs + 25_000);
     }
 
     private Outcome replay(Policy policy) {
         List<Report> waiting = new ArrayList<>();
-        int come = 0;
+        int arrived = 0;
         int served = 0;
         int refused = 0;
         int overtaken = 0;
         for (long now = 0; now < END_MS; now += TICK_MS) {
-            while (!due.isEmpty() && due.peek().atMs() <= now) {
-                due.poll().what().run();
+            while (!scheduledActions.isEmpty() && scheduledActions.peek().atMs() <= now) {
+                scheduledActions.poll().action().run();
             }
-            if (come < REPORTS && now >= come * GAP_MS) {
-                waiting.add(new Report(come, now, world.course(planAt(now))));
-                come++;
+            if (arrived < REPORTS && now >= arrived * GAP_MS) {
+                waiting.add(new Report(arrived, now, fixture.stateMachine(parametersAt(now))));
+                arrived++;
             }
             Collections.shuffle(waiting, random);
             Iterator<Report> each = waiting.iterator();
@@ -86,11 +87,11 @@
                 Step step = policy.next(report, now);
                 if (step instanceof Step.Send send) {
                     served++;
-                    boolean behind = waiting.stream().anyMatch(w -> w.number < report.number);
-                    overtaken += behind ? 1 : 0;
-                    LoadTicket ticket = LoadTicket.open(world.loads, send, ForwardWorld.PROMPT);
-                    due.add(new Due(now + READ_MS, ticket::read));
-                    due.add(new Due(now + RUN_MS, ticket::close));
+                    boolean isOvertaking = waiting.stream().anyMatch(w -> w.number < report.number);
+                    overtaken += isOvertaking ? 1 : 0;
+                    LoadEntry entry = LoadEntry.open(fixture.loads, send, ForwardFixture.PROMPT);
+                    scheduledActions.add(new ScheduledAction(now + READ_MS, entry::endPrefill));
+                    scheduledActions.add(new ScheduledAction(now + RUN_MS, entry::close));
                     each.remove();
                 } else if (step instanceof Step.End) {
                     refused++;
@@ -101,44 +102,47 @@
         return new Outcome(served, refused, overtaken);
     }
 
-    /** Each looks for itself, for an eighth of its goal. */
-    private Step withoutLine(Report report, long nowMs) {
-        if (nowMs - report.arrivedMs > ForwardWorld.GOAL_MS / 8) {
-            return report.course.expired();
+    /** Each report checks for a free engine on its own, for an eighth of its goal. */
+    private Step withoutQueue(Report report, long nowMs) {
+        if (nowMs - report.arrivedMs > ForwardFixture.GOAL_MS / 8) {
+            return report.stateMachine.endAtDeadline();
         }
-        ImmutableList<BackendServer> servers = ImmutableList.copyOf(world.servers);
+        ImmutableList<BackendServer> servers = ImmutableList.copyOf(fixture.servers);
         Optional<BackendServer> engine =
-                world.placement.server(
+                fixture.selector.select(
                         servers,
-                        ForwardWorld.PROMPT,
-                        Optional.of(ForwardWorld.ENGINE),
+                        ForwardFixture.PROMPT,
+                        Optional.of(ForwardFixture.ENGINE),
                         Set.of(),
                         nowMs);
         if (engine.isEmpty()) {
-            return new Step.Hold(TICK_MS);
+            return new Step.Wait(TICK_MS);
         }
-        return new Step.Send(engine.get(), Optional.empty(), false, report.course.lastEvent());
+        return new Step.Send(
+                engine.get(), Optional.empty(), false, report.stateMachine.lastEventId());
     }
 
-    private Step inLine(Report report, long nowMs) {
-        return report.course.next(nowMs);
+    private Step withQueue(Report report, long nowMs) {
+        return report.stateMachine.next(nowMs);
     }
 
-    /** The same load under both. */
+    /** Compares both policies under the same load. */
     @Nested
     class Burst {
         @Test
         void isServedInOrderWithFewerRefusals() {
-            Outcome inLine = replay(EngineOverloadTest.this::inLine);
-            Outcome plain = new EngineOverloadTest().plain();
-            assertEquals(0, inLine.overtaken(), "served before one that came earlier");
-            assertTrue(plain.overtaken() > 0, "the plain policy " + plain);
-            assertTrue(inLine.refused() < plain.refused(), "in line " + inLine + ", " + plain);
-            assertEquals(REPORTS, inLine.served() + inLine.refused());
+            Outcome withQueue = replay(EngineOverloadTest.this::withQueue);
+            Outcome withoutQueue = new EngineOverloadTest().replayWithoutQueue();
+            assertEquals(0, withQueue.overtaken(), "requests served before an earlier arrival");
+            assertTrue(withoutQueue.overtaken() > 0, "without a queue: " + withoutQueue);
+            assertTrue(
+                    withQueue.refused() < withoutQueue.refused(),
+                    "with a queue: " + withQueue + ", " + withoutQueue);
+            assertEquals(REPORTS, withQueue.served() + withQueue.refused());
         }
     }
 
-    private Outcome plain() {
-        return replay(this::withoutLine);
+    private Outcome replayWithoutQueue() {
+        return replay(this::withoutQueue);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/forward/ForwardWorld.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ForwardFixture.java
@@ -12,64 +12,65 @@
 import org.masticweir.catalog.EngineSpec;
 import org.masticweir.catalog.Repeatability;
 import org.masticweir.catalog.Route;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.catalog.ServiceName;
 import org.masticweir.id.DomainId;
 import org.masticweir.id.EngineId;
 import org.masticweir.id.PromptId;
 import org.masticweir.permits.ServerLimits;
 
-/** Servers of one service and what a router knows of them. */
-final class ForwardWorld {
+/** Servers of one service and the state that a router has of them. */
+final class ForwardFixture {
     static final ServiceName SERVICE = ServiceName.of("reports");
     static final EngineSpec ENGINE = new EngineSpec(96, 88_000, true);
     static final RequestSize PROMPT = new RequestSize(8_200, 1_120);
     static final long GOAL_MS = 4_500;
 
     final List<BackendServer> servers = new ArrayList<>();
-    final LoadBoard loads = LoadBoard.create();
+    final LoadTracker loads = LoadTracker.create();
     final ServerHealth health = ServerHealth.create();
     final ServerNotices notices = ServerNotices.create();
     final ServerLimits limits = ServerLimits.create();
-    final Placement placement =
-            Placement.create(
+    final ServerSelector selector =
+            ServerSelector.create(
                     loads, health, notices, limits, DomainId.of("a"), new SplittableRandom(7));
-    final WaitingLine line = WaitingLine.create();
-    final ServiceRepeats repeats = repeatsOfABusyRouter();
+    final WaitQueue waitQueue = WaitQueue.create();
+    final ServiceRetryBudgets retryBudgets = retryBudgetsOfBusyRouter();
 
-    /** Its own requests allow 64 repeats. */
-    private static ServiceRepeats repeatsOfABusyRouter() {
-        ServiceRepeats repeats = ServiceRepeats.of(0.8, 150);
+    /** Returns budgets of a router whose own requests allow 64 retries. */
+    private static ServiceRetryBudgets retryBudgetsOfBusyRouter() {
+        ServiceRetryBudgets retryBudgets = ServiceRetryBudgets.of(0.8, 150);
         for (int i = 0; i < 100; i++) {
-            repeats.requested(SERVICE, 0);
+            retryBudgets.recordRequest(SERVICE, 0);
         }
-        return repeats;
+        return retryBudgets;
     }
 
     /** Adds servers {@code domain-1} to {@code domain-n}. */
-    ForwardWorld domain(String domain, int count) {
+    ForwardFixture domain(String domain, int count) {
         for (int i = 1; i <= count; i++) {
             servers.add(server(domain + "-" + i, domain));
         }
-        listed(0);
+        updateListed(0);
         return this;
     }
 
-    void listed(long nowMs) {
-        health.listed(Set.copyOf(servers.stream().map(BackendServer::life).toList()), nowMs);
+    void updateListed(long nowMs) {
+        health.updateListed(
+                Set.copyOf(servers.stream().map(BackendServer::incarnation).toList()), nowMs);
     }
 
-    static ServerLife life(String id) {
-        return ServerLife.ofUnknownStart(EngineId.of(id));
+    static ServerIncarnation incarnation(String id) {
+        return ServerIncarnation.ofUnknownStart(EngineId.of(id));
     }
 
     static BackendServer server(String id, String domain) {
-        return server(life(id), domain);
+        return server(incarnation(id), domain);
     }
 
-    static BackendServer server(ServerLife life, String domain) {
+    static BackendServer server(ServerIncarnation incarnation, String domain) {
         return new BackendServer(
-                life,
+                incarnation,
                 SERVICE,
                 new InetSocketAddress("127.0.0.1", 7_000),
                 DomainId.of(domain),
@@ -81,30 +82,33 @@
         return servers.stream().filter(s -> s.id().value().equals(id)).findAny().orElseThrow();
     }
 
-    Course course(Repeatability repeatability, int attempts) {
-        return course(plan(repeatability, attempts));
+    RequestStateMachine stateMachine(Repeatability repeatability, int attempts) {
+        return stateMachine(parameters(repeatability, attempts));
     }
 
-    Course course(RequestPlan plan) {
-        return course(plan, SendGate.open());
+    RequestStateMachine stateMachine(RequestParameters parameters) {
+        return stateMachine(parameters, ContentPolicy.allowAll());
     }
 
-    Course course(RequestPlan plan, SendGate gate) {
-        return Course.of(
-                plan,
+    RequestStateMachine stateMachine(RequestParameters parameters, ContentPolicy gate) {
+        return RequestStateMachine.of(
+                parameters,
                 () -> ImmutableList.copyOf(servers),
-                placement,
+                selector,
                 health,
-                repeats,
+                retryBudgets,
                 gate,
-                line,
+                waitQueue,
                 new SplittableRandom(3));
     }
 
-    /** Returns the plan of a stream whose caller has its events up to {@code lastEvent}. */
-    static RequestPlan planOfReturn(long lastEvent) {
-        RequestPlan first = plan(Repeatability.RESUMABLE, 5);
-        return new RequestPlan(
+    /**
+     * Returns the parameters of a stream whose caller already has its events up to {@code
+     * lastEvent}.
+     */
+    static RequestParameters parametersOfReturningCaller(long lastEvent) {
+        RequestParameters first = parameters(Repeatability.RESUMABLE, 5);
+        return new RequestParameters(
                 first.route(),
                 first.service(),
                 first.engine(),
@@ -115,34 +119,34 @@
                 first.expiresMs());
     }
 
-    /** Returns {@code plan} of a request that is received and expires at other times. */
-    static RequestPlan at(RequestPlan plan, long receivedMs, long expiresMs) {
-        return new RequestPlan(
-                plan.route(),
-                plan.service(),
-                plan.engine(),
-                plan.size(),
-                plan.prompt(),
-                plan.callersEvent(),
+    /** Returns the given parameters with another receive time and deadline. */
+    static RequestParameters at(RequestParameters parameters, long receivedMs, long expiresMs) {
+        return new RequestParameters(
+                parameters.route(),
+                parameters.service(),
+                parameters.engine(),
+                parameters.size(),
+                parameters.prompt(),
+                parameters.callerLastEventId(),
                 receivedMs,
                 expiresMs);
     }
 
-    /** Returns the plan of a stream of {@code size}. */
-    static RequestPlan planOfSize(RequestSize size) {
-        RequestPlan usual = plan(Repeatability.RESUMABLE, 5);
-        return new RequestPlan(
+    /** Returns the parameters of a stream of {@code size}. */
+    static RequestParameters parametersOfSize(RequestSize size) {
+        RequestParameters usual = parameters(Repeatability.RESUMABLE, 5);
+        return new RequestParameters(
                 usual.route(),
                 usual.service(),
                 usual.engine(),
                 size,
                 usual.prompt(),
-                usual.callersEvent(),
+                usual.callerLastEventId(),
                 usual.receivedMs(),
                 usual.expiresMs());
     }
 
-    static RequestPlan plan(Repeatability repeatability, int attempts) {
+    static RequestParameters parameters(Repeatability repeatability, int attempts) {
         boolean streams = repeatability == Repeatability.RESUMABLE;
         Route route =
                 new Route(
@@ -158,7 +162,7 @@
                         attempts,
                         false,
                         ImmutableList.of(new Route.Share(SERVICE, 1)));
-        return new RequestPlan(
+        return new RequestParameters(
                 route,
                 SERVICE,
                 streams ? Optional.of(ENGINE) : Optional.empty(),
--- a/masticweir/src/test/java/org/masticweir/forward/QuarantinedCourseTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/QuarantinedRequestTest.java
@@ -11,9 +11,9 @@
 import org.masticweir.error.Verdict;
 import org.masticweir.quarantine.SendRule;
 
-/** The course of a request whose content has ended servers elsewhere. */
-class QuarantinedCourseTest {
-    private final ForwardWorld world = new ForwardWorld().domain("a", 3).domain("b", 3);
+/** Tests requests whose content has ended servers before. */
+class QuarantinedRequestTest {
+    private final ForwardFixture fixture = new ForwardFixture().domain("a", 3).domain("b", 3);
 
     private static Step.Send send(Step step) {
         return assertInstanceOf(Step.Send.class, step);
@@ -25,11 +25,11 @@
 
     private static final long HOLD_LEFT_MS = 60_000;
 
-    private SendRule rule = SendRule.FREE;
+    private SendRule rule = SendRule.ANY_SERVER;
 
-    private Course gated() {
-        SendGate gate =
-                new SendGate() {
+    private RequestStateMachine requestUnderRule() {
+        ContentPolicy gate =
+                new ContentPolicy() {
                     @Override
                     public SendRule rule(long nowMs) {
                         return rule;
@@ -40,45 +40,45 @@
                         return OptionalLong.of(HOLD_LEFT_MS);
                     }
                 };
-        return world.course(ForwardWorld.plan(Repeatability.RESUMABLE, 5), gate);
+        return fixture.stateMachine(ForwardFixture.parameters(Repeatability.RESUMABLE, 5), gate);
     }
 
     @Test
-    void isRefusedAtOnceAndSaysWhenItIsTakenAgain() {
-        rule = SendRule.NEVER;
-        Step.End refused = end(gated().next(0));
+    void isRefusedAtOnceWithRetryAfter() {
+        rule = SendRule.REJECT;
+        Step.End refused = end(requestUnderRule().next(0));
         assertEquals(ErrorCode.QUARANTINED, refused.code());
         assertEquals(Verdict.NOT_RUN, refused.verdict());
         assertEquals(OptionalLong.of(HOLD_LEFT_MS), refused.retryAfterMs());
     }
 
-    /** The answer must not say that a request did not run which a server had begun. */
+    /** A request that a server had started must not be reported as not run. */
     @Test
-    void isNotCalledNotRunAfterASend() {
-        Course course = gated();
-        BackendServer first = send(course.next(0)).server();
-        rule = SendRule.NEVER;
-        Step.End ended = end(course.lost(first, 10));
+    void mayHaveRunAfterSend() {
+        RequestStateMachine machine = requestUnderRule();
+        BackendServer first = send(machine.next(0)).server();
+        rule = SendRule.REJECT;
+        Step.End ended = end(machine.onSendLost(first, 10));
         assertEquals(ErrorCode.ENGINE_LOST, ended.code());
         assertEquals(Verdict.MAY_HAVE_RUN, ended.verdict());
         assertEquals(OptionalLong.empty(), ended.retryAfterMs());
     }
 
     @Test
-    void waitsForWordOnItNoLongerThanForAServer() {
+    void waitsForTrialNoLongerThanForServer() {
         rule = SendRule.WAIT;
-        Course course = gated();
-        assertInstanceOf(Step.Hold.class, course.next(0));
-        assertEquals(ErrorCode.OVERLOADED, end(course.next(ForwardWorld.GOAL_MS / 2)).code());
+        RequestStateMachine machine = requestUnderRule();
+        assertInstanceOf(Step.Wait.class, machine.next(0));
+        assertEquals(ErrorCode.OVERLOADED, end(machine.next(ForwardFixture.GOAL_MS / 2)).code());
     }
 
-    /** Whatever runs beside it may be lost with it. */
+    /** Requests that run at the same server may be lost with it. */
     @Test
-    void goesWhereTheLeastRuns() {
-        world.servers.stream()
+    void goesToLeastLoadedServer() {
+        fixture.servers.stream()
                 .filter(s -> !s.id().value().equals("b-2"))
-                .forEach(s -> world.loads.sent(s.life(), new RequestSize(0, 100)));
-        rule = SendRule.APART;
-        assertEquals("b-2", send(gated().next(0)).server().id().value());
+                .forEach(s -> fixture.loads.recordSend(s.incarnation(), new RequestSize(0, 100)));
+        rule = SendRule.LEAST_LOADED;
+        assertEquals("b-2", send(requestUnderRule().next(0)).server().id().value());
     }
 }
--- a/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
@@ -20,62 +20,63 @@
 import org.masticweir.id.RequestId;
 import org.masticweir.id.TeamId;
 import org.masticweir.id.WorkClassId;
-import org.masticweir.limits.AdmissionDecision.Admit;
+import org.masticweir.limits.AdmissionDecision.Admitted;
 import org.masticweir.limits.AdmissionDecision.Queued;
 import org.masticweir.limits.AdmissionDecision.Refused;
 
-/** Tests what is let in, in which order, and what is refused when. */
+/** Tests which requests are admitted, in which order, and when requests are refused. */
 class AdmissionTest {
     private static final ModelId MODEL = ModelId.of("report");
     private static final WorkClass LOOKUPS = workClass("lookups", 340, 3_000);
     private static final WorkClass REPORTS = workClass("reports", 4_000, 60_000);
-    private static final int PLACES = 20;
+    private static final int SLOTS = 20;
     private static final int HOLD_MS = 1_000;
 
     private int engines = 1;
     private int busy;
     private int recoveries;
-    private final Admission admission =
-            Admission.create((m, v, now) -> capacity(), t -> 1, m -> recoveries, new Random(3));
+    private final AdmissionController admission =
+            AdmissionController.create(
+                    (m, v, now) -> capacity(), t -> 1, m -> recoveries, new Random(3));
 
     private static WorkClass workClass(String id, int firstMs, int totalMs) {
         return new WorkClass(
                 WorkClassId.of(id), firstMs, totalMs, Reliability.TOKENS, RecoveryPreset.PROMPT);
     }
 
-    private static WorkRequest request(String id, String team, WorkClass c, long now) {
-        return new WorkRequest(RequestId.of(id), TeamId.of(team), c, MODEL, "3", 10, 100, now);
+    private static AdmissionRequest request(String id, String team, WorkClass c, long now) {
+        return new AdmissionRequest(RequestId.of(id), TeamId.of(team), c, MODEL, "3", 10, 100, now);
     }
 
     private Capacity capacity() {
-        return new Capacity(engines, PLACES - busy, PLACES, PLACES, HOLD_MS, 10, 5);
+        return new Capacity(engines, SLOTS - busy, SLOTS, SLOTS, HOLD_MS, 10, 5);
     }
 
     private AdmissionDecision offer(String id, String team, WorkClass c, long now) {
         AdmissionDecision d = admission.offer(request(id, team, c, now), now);
-        started(d);
+        markSentIfAdmitted(d);
         return d;
     }
 
     private List<AdmissionDecision> tick(long now) {
         List<AdmissionDecision> decisions = admission.tick(now);
-        decisions.forEach(this::started);
+        decisions.forEach(this::markSentIfAdmitted);
         return decisions;
     }
 
-    private void started(AdmissionDecision d) {
-        if (d instanceof Admit) {
+    private void markSentIfAdmitted(AdmissionDecision d) {
+        if (d instanceof Admitted) {
             busy++;
-            admission.sent(d.request());
+            admission.recordSend(d.request());
         }
     }
 
-    /** Work that can't be served in time. */
+    /** Requests that can't be served in time. */
     @Nested
-    class Late {
+    class PredictedLate {
         @Test
-        void isRefusedOnArrivalWithATimeToReturn() {
-            busy = PLACES;
+        void isRefusedOnArrivalWithRetryAfter() {
+            busy = SLOTS;
             for (int n = 0; n < 6; n++) {
                 assertInstanceOf(Queued.class, offer("q" + n, "a", LOOKUPS, 0));
             }
@@ -86,7 +87,7 @@
 
         @Test
         void isRefusedFromTheQueueBeforeItsTargetHasPassed() {
-            busy = PLACES;
+            busy = SLOTS;
             offer("q", "a", LOOKUPS, 0);
             assertEquals(List.of(), tick(100));
             Refused r = assertInstanceOf(Refused.class, tick(300).get(0));
@@ -96,7 +97,7 @@
 
         @Test
         void withoutAnEngineIsRefusedAtOnce() {
-            busy = PLACES;
+            busy = SLOTS;
             offer("q", "a", REPORTS, 0);
             engines = 0;
             assertEquals(ErrorCode.NO_ENGINE, ((Refused) tick(1).get(0)).code());
@@ -105,13 +106,12 @@
         }
 
         /*
-         * After a short outage the system is overloaded in waves. Hundreds of callers are refused
-         * within a second, come back after the same time and are refused together again.
-         * Cause: one retry-after for all.
+         * Guards against retry waves after a short outage: hundreds of callers are refused within a
+         * second, all with the same retry delay, retry together and are refused together again.
          */
         @Test
-        void returnsAreSpreadByTheBacklog() {
-            busy = PLACES;
+        void retriesAreSpreadByTheBacklog() {
+            busy = SLOTS;
             long max = 0;
             int[] perSecond = new int[60];
             for (int n = 0; n < 200; n++) {
@@ -120,55 +120,55 @@
                     perSecond[(int) (r.retryAfterMs() / 1_000)]++;
                 }
             }
-            assertTrue(max > 8_000, "last return after " + max + " ms");
+            assertTrue(max > 8_000, "last retry after " + max + " ms");
             for (int n : perSecond) {
-                assertTrue(n <= 2 * PLACES, n + " returns in one second");
+                assertTrue(n <= 2 * SLOTS, n + " retries in one second");
             }
         }
     }
 
-    /** More work than engines can take. */
+    /** More requests than the engines can serve. */
     @Nested
     class Overload {
         /*
-         * Tablets time out while advisers stand at the door. Reports arrive at twice what engines
-         * can take, all places are held by reports, and lookups queue behind them.
-         * Cause: no room is kept and nothing is refused, so every queue grows.
+         * Guards against timeouts of lookups in overload. Reports arrive at twice the rate that the
+         * engines can serve, occupy all slots, and lookups queue behind them. Without reserved
+         * slots and refusals every queue grows.
          */
         @Test
         void twiceTheLoadKeepsLookupsWithinTarget(TestReporter reporter) {
-            Outcome fifo = new Loop(true).run(20, 40);
+            Outcome fifo = new Simulation(true).run(20, 40);
             busy = 0;
-            Outcome o = new Loop(false).run(20, 40);
+            Outcome o = new Simulation(false).run(20, 40);
             reporter.publishEntry("overload", "in order of arrival " + fifo + ", admission " + o);
             assertTrue(fifo.lookupsInTime < 0.2 * fifo.lookups, fifo.toString());
             assertEquals(0, o.lookupsLate, o.toString());
             assertTrue(o.lookupsInTime >= 0.98 * o.lookups, o.toString());
             assertEquals(0, o.reportsLate, o.toString());
-            assertTrue(o.reportsInTime >= 0.9 * o.placesLeftForReports(), o.toString());
+            assertTrue(o.reportsInTime >= 0.9 * o.slotsLeftForReports(), o.toString());
         }
 
         @Test
-        void recoveriesThatWaitGoFirst() {
-            busy = PLACES - 2;
+        void waitingRecoveriesGoFirst() {
+            busy = SLOTS - 2;
             recoveries = 2;
             assertInstanceOf(Queued.class, offer("q", "a", REPORTS, 0));
             recoveries = 0;
-            assertInstanceOf(Admit.class, tick(1).get(0));
+            assertInstanceOf(Admitted.class, tick(1).get(0));
         }
     }
 
-    /** Teams that ask for more than there is. */
+    /** Teams whose demand exceeds the capacity. */
     @Nested
     class Fairness {
         /*
-         * Small teams get errors whenever one large team submits its month's work. The burst fills
-         * the queue and whoever comes after it is predicted to be late.
-         * Cause: one queue in the order of arrival.
+         * Guards against errors for small teams while one large team submits a month's work. With a
+         * single queue in order of arrival the burst fills the queue, and every later request is
+         * predicted to be late.
          */
         @Test
         void aBurstOfOneTeamDoesNotDelayOthers() {
-            busy = PLACES;
+            busy = SLOTS;
             for (int n = 0; n < 300; n++) {
                 offer("big" + n, "big", REPORTS, 0);
             }
@@ -177,12 +177,12 @@
             assertTrue(small.expectedWaitMs() <= 200, small.toString());
             busy -= 2;
             List<AdmissionDecision> next = tick(2);
-            assertTrue(next.contains(new Admit(RequestId.of("s"))), next.toString());
+            assertTrue(next.contains(new Admitted(RequestId.of("s"))), next.toString());
         }
 
         @Test
         void teamsShareByTokens() {
-            busy = PLACES;
+            busy = SLOTS;
             for (int n = 0; n < 30; n++) {
                 offer("a" + n, "a", REPORTS, 0);
                 offer("b" + n, "b", REPORTS, 0);
@@ -193,7 +193,7 @@
         }
     }
 
-    /** What became of the work of one run. */
+    /** Results of one simulation. */
     private record Outcome(
             int lookups,
             int lookupsInTime,
@@ -201,39 +201,39 @@
             int reports,
             int reportsInTime,
             int reportsLate) {
-        /** Returns how many reports the places can end at most, besides all lookups. */
-        double placesLeftForReports() {
-            double placeMs = PLACES * Loop.END_MS - lookups * Loop.LOOKUP_HOLD_MS;
-            return placeMs / HOLD_MS;
+        /** Returns how many reports the slots can finish at most, in addition to all lookups. */
+        double slotsLeftForReports() {
+            double slotMs = SLOTS * Simulation.END_MS - lookups * Simulation.LOOKUP_HOLD_MS;
+            return slotMs / HOLD_MS;
         }
     }
 
-    /** Offers work at a steady rate and ends it after the time it holds its place. */
-    private final class Loop {
+    /** Offers requests at a steady rate and ends each one after its hold time. */
+    private final class Simulation {
         private static final int END_MS = 20_000;
         private static final int TICK_MS = 5;
         private static final int LOOKUP_HOLD_MS = 100;
         private final Random random = new Random(11);
         private final Deque<String> fifo = new ArrayDeque<>();
-        private final boolean inOrderOfArrival;
+        private final boolean isFifo;
         private final List<long[]> running = new ArrayList<>();
         private final List<long[]> offered = new ArrayList<>();
         private final int[] inTime = new int[2];
         private final int[] late = new int[2];
         private final int[] count = new int[2];
 
-        Loop(boolean inOrderOfArrival) {
-            this.inOrderOfArrival = inOrderOfArrival;
+        Simulation(boolean isFifo) {
+            this.isFifo = isFifo;
         }
 
         Outcome run(int lookupsPerS, int reportsPerS) {
             for (long now = 0; now < END_MS; now += TICK_MS) {
                 end(now);
                 long at = now;
-                tick(now).forEach(d -> take(d, at));
-                while (busy < PLACES && !fifo.isEmpty()) {
+                tick(now).forEach(d -> addDecision(d, at));
+                while (busy < SLOTS && !fifo.isEmpty()) {
                     busy++;
-                    take(new Admit(RequestId.of(fifo.poll())), now);
+                    addDecision(new Admitted(RequestId.of(fifo.poll())), now);
                 }
                 arrive(0, lookupsPerS, now);
                 arrive(1, reportsPerS, now);
@@ -246,16 +246,17 @@
                 count[kind]++;
                 int n = offered.size();
                 offered.add(new long[] {kind, now});
-                if (inOrderOfArrival) {
+                if (isFifo) {
                     fifo.add("n" + n);
                 } else {
-                    take(offer("n" + n, "t" + n % 5, kind == 0 ? LOOKUPS : REPORTS, now), now);
+                    addDecision(
+                            offer("n" + n, "t" + n % 5, kind == 0 ? LOOKUPS : REPORTS, now), now);
                 }
             }
         }
 
-        private void take(AdmissionDecision d, long now) {
-            if (d instanceof Admit) {
+        private void addDecision(AdmissionDecision d, long now) {
+            if (d instanceof Admitted) {
                 int n = Integer.parseInt(d.request().value().substring(1));
                 int kind = (int) offered.get(n)[0];
                 WorkClass c = kind == 0 ? LOOKUPS : REPORTS;
@@ -269,7 +270,7 @@
             for (long[] r : running) {
                 if (r[1] <= now) {
                     busy--;
-                    admission.finished(RequestId.of("n" + r[0]), now);
+                    admission.recordEnd(RequestId.of("n" + r[0]), now);
                 }
             }
             running.removeIf(r -> r[1] <= now);
--- a/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
@@ -15,14 +15,17 @@
 import org.masticweir.id.RequestId;
 import org.masticweir.id.TeamId;
 import org.masticweir.id.WorkClassId;
-import org.masticweir.limits.AdmissionDecision.Admit;
+import org.masticweir.limits.AdmissionDecision.Admitted;
 import org.masticweir.limits.AdmissionDecision.Queued;
 import org.masticweir.limits.AdmissionDecision.Refused;
 import org.masticweir.settings.DaemonSettings;
 
-/** Tests what each switch of the limits turns off: the baselines of the trials. */
+/**
+ * Tests which mechanism each switch of the limits turns off; trials use these settings as
+ * baselines.
+ */
 class LimitTuningTest {
-    static final String LEAST =
+    static final String MINIMAL_SETTINGS =
             String.join(
                     "\n",
                     "[router]",
@@ -35,11 +38,11 @@
                     "address = 127.0.0.1:7090",
                     "[limits]",
                     "");
-    private static final int PLACES = 20;
+    private static final int SLOTS = 20;
     private static final WorkClass LOOKUPS = workClass("lookups", 340);
     private static final WorkClass REPORTS = workClass("reports", 4_000);
 
-    private int busy = PLACES;
+    private int busy = SLOTS;
     private int arrivals;
 
     private static WorkClass workClass(String id, int firstMs) {
@@ -47,19 +50,20 @@
                 WorkClassId.of(id), firstMs, 60_000, Reliability.TOKENS, RecoveryPreset.PROMPT);
     }
 
-    private Admission admission(String... lines) {
-        DaemonSettings settings = DaemonSettings.parse("r.ini", LEAST + String.join("\n", lines));
-        return Admission.create(
-                (m, v, now) -> new Capacity(1, PLACES - busy, PLACES, PLACES, 1_000, 10, 5),
+    private AdmissionController admission(String... lines) {
+        DaemonSettings settings =
+                DaemonSettings.parse("r.ini", MINIMAL_SETTINGS + String.join("\n", lines));
+        return AdmissionController.create(
+                (m, v, now) -> new Capacity(1, SLOTS - busy, SLOTS, SLOTS, 1_000, 10, 5),
                 t -> 1,
                 m -> 0,
                 new Random(3),
-                LimitTuning.of(settings.limits()));
+                LimitSettings.of(settings.limits()));
     }
 
-    private AdmissionDecision offer(Admission a, String id, String team, WorkClass c) {
-        WorkRequest work =
-                new WorkRequest(
+    private AdmissionDecision offer(AdmissionController a, String id, String team, WorkClass c) {
+        AdmissionRequest work =
+                new AdmissionRequest(
                         RequestId.of(id),
                         TeamId.of(team),
                         c,
@@ -79,38 +83,38 @@
 
     @Test
     void settingsLeftOutGiveTheDefaults() {
-        DaemonSettings settings = DaemonSettings.parse("r.ini", LEAST);
-        assertEquals(LimitTuning.defaults(), LimitTuning.of(settings.limits()));
+        DaemonSettings settings = DaemonSettings.parse("r.ini", MINIMAL_SETTINGS);
+        assertEquals(LimitSettings.defaults(), LimitSettings.of(settings.limits()));
     }
 
-    /** What comes first from the queue when one place is free. */
+    /** Which request is admitted first when one slot is free. */
     @Nested
     class Order {
-        private String firstOf(Admission a) {
+        private String firstOf(AdmissionController a) {
             offer(a, "report", "a", REPORTS);
             offer(a, "lookup", "a", LOOKUPS);
-            busy = PLACES - 1;
+            busy = SLOTS - 1;
             return ids(a.tick(1)).get(0);
         }
 
         @Test
         void isByClassUnlessTurnedOff() {
             assertEquals("lookup", firstOf(admission("headroom_percent = 0")));
-            busy = PLACES;
+            busy = SLOTS;
             assertEquals("report", firstOf(admission("class_shares = false")));
         }
 
         @Test
         void isByTeamUnlessTurnedOff() {
-            Admission fair = admission("headroom_percent = 0");
-            Admission off = admission("headroom_percent = 0", "fair_shares = false");
-            for (Admission a : List.of(fair, off)) {
-                busy = PLACES;
+            AdmissionController fair = admission("headroom_percent = 0");
+            AdmissionController off = admission("headroom_percent = 0", "fair_shares = false");
+            for (AdmissionController a : List.of(fair, off)) {
+                busy = SLOTS;
                 for (int i = 1; i <= 4; i++) {
                     offer(a, "large-" + i, "large", REPORTS);
                 }
                 offer(a, "small", "small", REPORTS);
-                busy = PLACES - 2;
+                busy = SLOTS - 2;
                 List<String> served = ids(a.tick(1));
                 assertEquals(a == fair, served.contains("small"), served.toString());
             }
@@ -120,7 +124,7 @@
     /** Requests that will be late. */
     @Nested
     class Late {
-        private AdmissionDecision seventh(Admission a) {
+        private AdmissionDecision seventh(AdmissionController a) {
             for (int i = 1; i <= 6; i++) {
                 offer(a, "q" + i, "a", LOOKUPS);
             }
@@ -135,14 +139,15 @@
 
         @Test
         void areRefusedFromTheQueueUnlessTurnedOff() {
-            Admission deadlines = admission("predicted_refusal = false");
+            AdmissionController deadlines = admission("predicted_refusal = false");
             seventh(deadlines);
             assertEquals(7, deadlines.tick(400).size());
-            Admission off = admission("predicted_refusal = false", "queue_deadlines = false");
+            AdmissionController off =
+                    admission("predicted_refusal = false", "queue_deadlines = false");
             seventh(off);
             assertEquals(List.of(), off.tick(10_000));
-            busy = PLACES - 1;
-            assertInstanceOf(Admit.class, off.tick(10_000).get(0));
+            busy = SLOTS - 1;
+            assertInstanceOf(Admitted.class, off.tick(10_000).get(0));
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
@@ -20,7 +20,7 @@
 import org.masticweir.id.RouterId;
 import org.masticweir.id.TeamId;
 import org.masticweir.id.WorkClassId;
-import org.masticweir.limits.AdmissionDecision.Admit;
+import org.masticweir.limits.AdmissionDecision.Admitted;
 import org.masticweir.limits.AdmissionDecision.Queued;
 import org.masticweir.limits.AdmissionDecision.Refused;
 import org.masticweir.routing.EngineView;
@@ -32,13 +32,13 @@
 import org.masticweir.routing.SpeedEstimate;
 import org.masticweir.time.ManualClock;
 
-/** Replays the mix of the Spaarstraal example through two routers onto shared engines. */
+/** Replays the request mix of the Spaarstraal example through two routers to shared engines. */
 final class OverloadReplay {
     /** A class of the mix: weight of its arrivals, medians and spread of its lengths. */
     record Profile(
             WorkClass workClass, int weight, double output, double sigma, int template, int own) {}
 
-    /** What became of the calls of one class, or of one class of one team. */
+    /** Results of the calls of one class, or of one class of one team. */
     static final class Tally {
         int offered;
         int inTarget;
@@ -85,8 +85,8 @@
     static final Profile LOOKUPS = profile("lookups", 300, 2_000, 50, 3.2, 0.5, 13, 2);
     static final Profile CONFIRMATIONS = profile("confirmations", 500, 5_000, 20, 8, 0.3, 13, 4);
 
-    /** The routers of a replay, and whether they tell each other of teams' use. */
-    record Fleet(int routers, boolean exchange) {
+    /** The routers of a replay, and whether they exchange the usage of teams. */
+    record Fleet(int routers, boolean exchangesUsage) {
         static final Fleet TWO = new Fleet(2, false);
     }
 
@@ -95,17 +95,17 @@
     private final ManualClock clock = ManualClock.startingAt(0);
     private final List<BatchEngine> engines;
     private final List<Profile> mix;
-    private final List<Entry> routers = new ArrayList<>();
+    private final List<SimulatedRouter> routers = new ArrayList<>();
     private final List<Call> calls = new ArrayList<>();
 
     private OverloadReplay(
-            List<Profile> mix, int engines, Fleet fleet, LimitTuning tuning, int seed) {
+            List<Profile> mix, int engines, Fleet fleet, LimitSettings settings, int seed) {
         random = new Random(seed);
         this.fleet = fleet;
         this.mix = mix;
         this.engines = IntStream.range(0, engines).mapToObj(i -> new BatchEngine()).toList();
         for (int i = 0; i < fleet.routers; i++) {
-            routers.add(new Entry(tuning, i));
+            routers.add(new SimulatedRouter(settings, i));
         }
     }
 
@@ -133,8 +133,12 @@
      * for each seed.
      */
     static ImmutableList<OverloadReplay> runs(
-            List<Profile> mix, int engines, LimitTuning tuning, double ratePerS, double burstPerS) {
-        return runs(mix, engines, Fleet.TWO, tuning, ratePerS, burstPerS);
+            List<Profile> mix,
+            int engines,
+            LimitSettings settings,
+            double ratePerS,
+            double burstPerS) {
+        return runs(mix, engines, Fleet.TWO, settings, ratePerS, burstPerS);
     }
 
     /** The same with another fleet of routers. */
@@ -142,11 +146,11 @@
             List<Profile> mix,
             int engines,
             Fleet fleet,
-            LimitTuning tuning,
+            LimitSettings settings,
             double ratePerS,
             double burstPerS) {
         return SEEDS.stream()
-                .map(seed -> new OverloadReplay(mix, engines, fleet, tuning, seed))
+                .map(seed -> new OverloadReplay(mix, engines, fleet, settings, seed))
                 .peek(replay -> replay.run(ratePerS, burstPerS))
                 .collect(ImmutableList.toImmutableList());
     }
@@ -158,19 +162,19 @@
         }
     }
 
-    /** Returns the sum of what {@code tally} gives of each run. */
+    /** Returns the sum of the results of {@code tally} for each run. */
     static Tally sum(List<OverloadReplay> runs, Function<OverloadReplay, Tally> tally) {
         Tally sum = new Tally();
         runs.stream().map(tally).forEach(sum::add);
         return sum;
     }
 
-    /** Returns what became of a class's calls after the start-up. */
+    /** Returns the results of a class's calls after the warm-up. */
     Tally of(Profile profile) {
         return tally(c -> c.profile == profile);
     }
 
-    /** Returns what became of a class's calls of all teams but the large one. */
+    /** Returns the results of a class's calls of all teams except the large one. */
     Tally ofSmallTeams(Profile profile) {
         return tally(c -> c.profile == profile && !c.team.equals(TEAMS[0]));
     }
@@ -248,7 +252,7 @@
         private final long atMs;
         private final int prompt;
         private final int tokens;
-        private final Entry router;
+        private final SimulatedRouter router;
         private long firstTokenMs = -1;
         private long totalMs = -1;
         private long refusedAfterMs = -1;
@@ -263,8 +267,8 @@
             router = routers.get(random.nextInt(fleet.routers));
         }
 
-        WorkRequest work() {
-            return new WorkRequest(
+        AdmissionRequest work() {
+            return new AdmissionRequest(
                     RequestId.of("n" + number),
                     TeamId.of(team),
                     profile.workClass,
@@ -290,30 +294,30 @@
         }
     }
 
-    /** One router: its admission, its chooser and what it last heard of the engines. */
-    private final class Entry {
+    /** One router: its admission controller, its chooser and its latest snapshot of the engines. */
+    private final class SimulatedRouter {
         private final InFlight inFlight = InFlight.create();
         private final ExpectedDelayChooser chooser;
         private final RouterId id;
         private final TeamShares shares;
-        private final Admission admission;
+        private final AdmissionController admission;
         private final int phaseMs;
         private RoutingSnapshot snapshot;
 
-        Entry(LimitTuning tuning, int index) {
+        SimulatedRouter(LimitSettings settings, int index) {
             Random own = new Random(index);
             phaseMs = index * POLL_MS / fleet.routers;
             chooser = ExpectedDelayChooser.create(inFlight, () -> own);
             id = RouterId.of("r" + index);
             shares = TeamShares.create(id, OverloadReplay::shareOf);
             admission =
-                    Admission.create(
+                    AdmissionController.create(
                             SnapshotCapacity.create(
-                                    () -> snapshot, inFlight, () -> fleet.routers, tuning),
+                                    () -> snapshot, inFlight, () -> fleet.routers, settings),
                             shares,
                             m -> 0,
                             own,
-                            tuning);
+                            settings);
             poll(0);
         }
 
@@ -321,32 +325,32 @@
             if (now % POLL_MS == phaseMs) {
                 poll(now);
             }
-            if (fleet.exchange && now % EXCHANGE_MS == 0) {
+            if (fleet.exchangesUsage && now % EXCHANGE_MS == 0) {
                 routers.forEach(other -> other.shares.merge(id, shares.digest(now), now));
             }
             if (now % SETTLE_MS == 0) {
-                shares.settle(now);
+                shares.updateWeights(now);
             }
             if (now % TICK_MS == 0) {
-                admission.tick(now).forEach(this::take);
+                admission.tick(now).forEach(this::applyDecision);
             }
         }
 
         void offer(Call call) {
-            take(admission.offer(call.work(), clock.nowMs()));
+            applyDecision(admission.offer(call.work(), clock.nowMs()));
         }
 
         void ended(Call call, int engine) {
             inFlight.finished(EngineId.of("e" + engine), clock.nowMs());
-            admission.finished(RequestId.of("n" + call.number), clock.nowMs());
-            shares.used(TeamId.of(call.team), call.tokens, clock.nowMs());
+            admission.recordEnd(RequestId.of("n" + call.number), clock.nowMs());
+            shares.recordUsage(TeamId.of(call.team), call.tokens, clock.nowMs());
         }
 
-        private void take(AdmissionDecision decision) {
+        private void applyDecision(AdmissionDecision decision) {
             Call call = calls.get(Integer.parseInt(decision.request().value().substring(1)));
             if (decision instanceof Refused) {
                 call.refusedAfterMs = clock.nowMs() - call.atMs;
-            } else if (decision instanceof Admit) {
+            } else if (decision instanceof Admitted) {
                 send(call);
             } else {
                 assert decision instanceof Queued;
@@ -358,8 +362,8 @@
             RouteQuery query = RouteQuery.first(MODEL, VERSION, c.id(), call.prompt, List.of());
             Chosen chosen = (Chosen) chooser.choose(snapshot, query, clock.nowMs());
             inFlight.sent(chosen, clock.nowMs());
-            admission.sent(RequestId.of("n" + call.number));
-            shares.used(TeamId.of(call.team), call.prompt, clock.nowMs());
+            admission.recordSend(RequestId.of("n" + call.number));
+            shares.recordUsage(TeamId.of(call.team), call.prompt, clock.nowMs());
             int engine = Integer.parseInt(chosen.view().id().value().substring(1));
             engines.get(engine)
                     .submit(
--- a/masticweir/src/test/java/org/masticweir/limits/RecoveryAdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/RecoveryAdmissionTest.java
@@ -20,8 +20,9 @@
 /** Tests how many recoveries start at a time, and in which order. */
 class RecoveryAdmissionTest {
     private static final ModelId MODEL = ModelId.of("report");
-    private final RecoveryAdmission admission =
-            RecoveryAdmission.create((m, v, now) -> new Capacity(4, 0, 16, 16, 1_000, 10, 5));
+    private final RecoveryAdmissionController admission =
+            RecoveryAdmissionController.create(
+                    (m, v, now) -> new Capacity(4, 0, 16, 16, 1_000, 10, 5));
 
     private static GenerationId generation(String id) {
         return GenerationId.of(RequestId.of(id), 1);
@@ -42,25 +43,25 @@
     @Nested
     class LostRack {
         /*
-         * A rack is lost and soon after streams on healthy engines stall and are moved too. All lost
-         * generations were sent to the survivors together, which computed nothing but prompts.
-         * Cause: recoveries without a limit on how many start at a time.
+         * Guards against the loss of healthy streams after the loss of a rack. Without a limit on
+         * starting recoveries all lost generations are sent to the remaining engines together,
+         * which then compute only prompts, so that their own streams stall and are moved too.
          */
         @Test
-        void startsAFewAtATimeMorePromptClassesFirst() {
+        void startsAFewAtATimeShortestTargetFirst() {
             for (int n = 0; n < 4; n++) {
                 assertInstanceOf(Start.class, offer("g" + n, 4_000, 9_000));
             }
             assertInstanceOf(Wait.class, offer("report", 4_000, 9_000));
             assertInstanceOf(Wait.class, offer("lookup", 340, 9_000));
-            assertEquals(2, admission.waiting(MODEL));
+            assertEquals(2, admission.waitingCount(MODEL));
             assertEquals(List.of(), admission.tick(10));
-            admission.resumed(generation("g0"));
+            admission.recordResume(generation("g0"));
             assertEquals(List.of(new Start(generation("lookup"))), admission.tick(20));
         }
 
         @Test
-        void startsLapseAndWhatIsDueIsGivenUp() {
+        void startsTimeOutAndOverdueRecoveriesAreGivenUp() {
             for (int n = 0; n < 4; n++) {
                 offer("g" + n, 4_000, 90_000);
             }
@@ -75,8 +76,8 @@
             for (int n = 0; n < 10; n++) {
                 assertInstanceOf(Start.class, offer("g", 4_000, 9_000));
             }
-            admission.ended(generation("g"));
-            assertEquals(0, admission.waiting(MODEL));
+            admission.recordEnd(generation("g"));
+            assertEquals(0, admission.waitingCount(MODEL));
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/limits/SnapshotCapacityTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/SnapshotCapacityTest.java
@@ -16,7 +16,7 @@
 import org.masticweir.routing.RoutingSnapshot;
 import org.masticweir.routing.SpeedEstimate;
 
-/** Tests what part of the engines one router takes for its own. */
+/** Tests which share of the engines' slots one router may use. */
 class SnapshotCapacityTest {
     private static final DomainId HOME = DomainId.of("d1");
     private static final ModelId MODEL = ModelId.of("report");
@@ -31,38 +31,39 @@
         return RoutingSnapshot.builder(HOME, 0).add(e).build();
     }
 
-    /** Several routers before one engine. */
+    /** Several routers that share one engine. */
     @Nested
     class Shared {
         @Test
-        void aPartOfTheFreePlacesIsOursLessWhatWeSentSince() {
+        void freeSlotsAreDividedLessOwnSendsSinceTheReport() {
             InFlight inFlight = InFlight.create();
             SnapshotCapacity source = SnapshotCapacity.create(() -> snapshot(6), inFlight, () -> 8);
-            assertEquals(5, source.of(MODEL, "3", 0).freePlaces(), 0.01);
-            assertEquals(2, source.of(MODEL, "3", 0).fairPlaces(), 0.01);
+            assertEquals(5, source.capacityOf(MODEL, "3", 0).freeSlots(), 0.01);
+            assertEquals(2, source.capacityOf(MODEL, "3", 0).fairShareSlots(), 0.01);
             inFlight.sent(ENGINE, 10);
             inFlight.sent(ENGINE, 10);
-            assertEquals(3, source.of(MODEL, "3", 20).freePlaces(), 0.01);
-            assertEquals(Capacity.none(), source.of(MODEL, "4", 20));
+            assertEquals(3, source.capacityOf(MODEL, "3", 20).freeSlots(), 0.01);
+            assertEquals(Capacity.none(), source.capacityOf(MODEL, "4", 20));
         }
 
         /*
-         * Reports are let in and late though the queue is short. Routers that saw one free place
-         * both filled it; from then on a sequence waits within the engine, and each that ends is
-         * replaced at once. Cause: what waits there was not counted against new sends.
+         * Guards against reports that are admitted and late though the queue is short. Routers that
+         * saw one free slot both filled it; from then on a sequence waits within the engine, and
+         * each one that ends is replaced at once, if waiting sequences are not subtracted from the
+         * free slots.
          */
         @Test
-        void whatWaitsInTheEnginesIsHeldBackByAllTogether() {
+        void sequencesThatWaitInEnginesReduceFreeSlotsOfAllRouters() {
             SnapshotCapacity source =
                     SnapshotCapacity.create(() -> snapshot(20), InFlight.create(), () -> 2);
-            assertEquals(-2, source.of(MODEL, "3", 0).freePlaces(), 0.01);
+            assertEquals(-2, source.capacityOf(MODEL, "3", 0).freeSlots(), 0.01);
         }
 
         @Test
-        void aloneAllFreePlacesAreOurs() {
+        void singleRouterMayFillAllFreeSlots() {
             SnapshotCapacity source =
                     SnapshotCapacity.create(() -> snapshot(6), InFlight.create(), () -> 1);
-            assertEquals(10, source.of(MODEL, "3", 0).freePlaces(), 0.01);
+            assertEquals(10, source.capacityOf(MODEL, "3", 0).freeSlots(), 0.01);
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/permits/PermitFleet.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitFleet.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.catalog.ServiceName;
 import org.masticweir.error.ErrorCode;
 import org.masticweir.error.MasticweirException;
@@ -23,53 +23,54 @@
 import org.masticweir.time.Clock;
 
 /**
- * Routers before one server that names a limit, and those that repeat requests, on a clock of their
- * own. Words between them take their time and may be lost, and routers are ended, stopped and cut
- * off.
+ * Simulates routers that send requests to one server with a limit, and routers that retry requests.
+ * Messages between routers are delayed and may be lost. Routers can be killed, suspended and
+ * partitioned.
  */
 final class PermitFleet {
-    static final ServerLife SERVER = ServerLife.ofUnknownStart(EngineId.of("i-limited"));
+    static final ServerIncarnation SERVER =
+            ServerIncarnation.ofUnknownStart(EngineId.of("i-limited"));
 
-    /** Repeats that all routers may send in ten seconds beyond their own shares. */
-    static final double ALLOWED_REPEATS = 150;
+    /** Retries that all routers together may send in ten seconds beyond their own shares. */
+    static final double ALLOWED_RETRIES = 150;
 
-    private static final PermitKey REPEATS = PermitKey.ofRepeats(ServiceName.of("reports"));
-    private static final SharedRate ALLOWANCE = SharedRate.ofAllowance(ALLOWED_REPEATS);
+    private static final PermitKey RETRIES = PermitKey.ofRepeats(ServiceName.of("reports"));
+    private static final SharedRate ALLOWANCE = SharedRate.ofAllowance(ALLOWED_RETRIES);
 
-    /** Time after which a link without a sign of life is given up, in ms. */
+    /** Time without a message after which a link is closed, in ms. */
     private static final long SILENCE_MS = 2_000;
 
-    /** Longest time until a link that may come up again does, in ms. */
-    private static final int LINK_AGAIN_MS = 500;
+    /** Longest time until a link is restored once its routers can reach each other, in ms. */
+    private static final int MAX_RELINK_MS = 500;
 
-    private static final int MOST_DELAY_MS = 20;
-    private static final int WAY_TO_SERVER_MS = 2;
+    private static final int MAX_DELAY_MS = 20;
+    private static final int SERVER_DELAY_MS = 2;
     private static final int ANSWER_MS = 60;
 
-    /** How long a router restarts for, in ms. */
+    /** Time that the restart of a router takes, in ms. */
     private static final long RESTART_MS = 1_000;
 
-    /** Most asks of one request: the servers that it would try. */
-    private static final int MOST_ASKS = 2;
+    /** Maximum number of permit requests for one request: the servers that it would try. */
+    private static final int MAX_PERMIT_REQUESTS = 2;
 
     private final Random random;
     private final double lost;
     private final List<Node> nodes = new ArrayList<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final FleetClock clock = new FleetClock();
     private final List<Arrival> arrivals = new ArrayList<>();
-    private final List<Arrival> repeats = new ArrayList<>();
+    private final List<Arrival> retries = new ArrayList<>();
     private OptionalDouble limit = OptionalDouble.empty();
     private long nowMs;
-    private int number;
-    private int asksSent;
+    private int nextEventNumber;
+    private int permitRequestsSent;
 
-    /** A request that came to the server. */
-    record Arrival(long atMs, int router, boolean told) {}
+    /** A request that arrived at the server. */
+    record Arrival(long atMs, int router, boolean mustComply) {}
 
-    private record Due(long atMs, int number, Runnable what) implements Comparable<Due> {
+    private record Event(long atMs, int number, Runnable what) implements Comparable<Event> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(Event other) {
             return atMs == other.atMs
                     ? Integer.compare(number, other.number)
                     : Long.compare(atMs, other.atMs);
@@ -93,48 +94,49 @@
         private final int index;
         private final RouterId id;
         private final Set<Integer> linked = new HashSet<>();
-        private final List<Runnable> held = new ArrayList<>();
+        private final List<Runnable> deferred = new ArrayList<>();
         private ServerLimits limits;
         private SharedPermits permits;
         private SharedLimits shared;
-        private int life;
+        private int incarnation;
         private int side;
-        private boolean up = true;
-        private boolean stopped;
-        private long toldMs = Long.MAX_VALUE;
-        private long repeatsClosedMs;
+        private boolean isUp = true;
+        private boolean isSuspended;
+        private long mustComplyFromMs = Long.MAX_VALUE;
+        private long retriesBlockedUntilMs;
 
         Node(int index) {
             this.index = index;
             id = RouterId.of("r" + index);
-            begin();
+            start();
         }
 
-        private void begin() {
+        private void start() {
             limits = ServerLimits.create();
             permits = new SharedPermits(id, this, clock, Runnable::run, new MetricRegistry());
-            shared = new SharedLimits(limits, permits, clock, new MetricRegistry(), this::tell);
-            toldMs = Long.MAX_VALUE;
+            shared =
+                    new SharedLimits(limits, permits, clock, new MetricRegistry(), this::broadcast);
+            mustComplyFromMs = Long.MAX_VALUE;
         }
 
-        private void tell(LimitNews news) {
-            linked.forEach(peer -> send(nodes.get(peer).id, news));
+        private void broadcast(LimitUpdate update) {
+            linked.forEach(peer -> send(nodes.get(peer).id, update));
         }
 
-        /** Runs {@code what} here, when the process next runs, unless it is another one then. */
-        private void here(Runnable what) {
-            int then = life;
-            run(
+        /** Runs {@code what} in this process when it is not suspended, unless it has restarted. */
+        private void runInProcess(Runnable what) {
+            int then = incarnation;
+            runOrDefer(
                     () -> {
-                        if (life == then && up) {
+                        if (incarnation == then && isUp) {
                             what.run();
                         }
                     });
         }
 
-        private void run(Runnable what) {
-            if (stopped) {
-                held.add(what);
+        private void runOrDefer(Runnable what) {
+            if (isSuspended) {
+                deferred.add(what);
             } else {
                 what.run();
             }
@@ -143,21 +145,23 @@
         @Override
         public boolean send(RouterId to, PeerMessage message) {
             Node peer = byId(to);
-            deliver(this, peer, () -> peer.shared.told(id, (LimitNews) message));
+            deliver(this, peer, () -> peer.shared.handleUpdate(id, (LimitUpdate) message));
             return true;
         }
 
         @Override
         public CompletableFuture<PeerMessage> ask(
                 RouterId to, PeerMessage message, long timeoutMs) {
-            asksSent++;
+            permitRequestsSent++;
             CompletableFuture<PeerMessage> answer = new CompletableFuture<>();
             Node peer = byId(to);
-            in(timeoutMs, () -> here(() -> fail(answer)));
+            schedule(timeoutMs, () -> runInProcess(() -> fail(answer)));
             deliver(
                     this,
                     peer,
-                    () -> peer.permits.asked(id, (PermitAsk) message, replyTo(peer, answer)));
+                    () ->
+                            peer.permits.handleRequest(
+                                    id, (PermitRequest) message, replyTo(peer, answer)));
             return answer;
         }
 
@@ -182,16 +186,16 @@
             };
         }
 
-        /** A request of a caller comes. */
+        /** Handles a request of a caller. */
         private void request(int asksLeft) {
             if (!limits.isLimited(SERVER)) {
                 sendToServer();
-            } else if (limits.closedForMs(SERVER, nowMs) == 0 && asksLeft > 0) {
-                shared.ask(
+            } else if (limits.blockedForMs(SERVER, nowMs) == 0 && asksLeft > 0) {
+                shared.requestPermit(
                         SERVER,
                         0,
                         decision -> {
-                            if (decision.granted()) {
+                            if (decision.isGranted()) {
                                 sendToServer();
                             } else {
                                 request(asksLeft - 1);
@@ -200,54 +204,54 @@
             }
         }
 
-        /** A request is to be sent again, for which this router's own requests do not allow. */
-        private void repeat() {
-            if (nowMs < repeatsClosedMs) {
+        /** Handles a retry that exceeds this router's own retry budget. */
+        private void retry() {
+            if (nowMs < retriesBlockedUntilMs) {
                 return;
             }
-            permits.ask(
-                    REPEATS,
+            permits.request(
+                    RETRIES,
                     0,
                     ALLOWANCE,
                     decision -> {
-                        if (decision.granted()) {
-                            repeats.add(new Arrival(nowMs, index, true));
+                        if (decision.isGranted()) {
+                            retries.add(new Arrival(nowMs, index, true));
                         } else {
-                            repeatsClosedMs = nowMs + decision.againMs();
+                            retriesBlockedUntilMs = nowMs + decision.retryAfterMs();
                         }
                     });
         }
 
         private void sendToServer() {
             long sentMs = nowMs;
-            boolean told = nowMs >= toldMs;
-            in(WAY_TO_SERVER_MS, () -> arrivals.add(new Arrival(nowMs, index, told)));
-            in(
-                    WAY_TO_SERVER_MS + random.nextInt(ANSWER_MS),
+            boolean mustComply = nowMs >= mustComplyFromMs;
+            schedule(SERVER_DELAY_MS, () -> arrivals.add(new Arrival(nowMs, index, mustComply)));
+            schedule(
+                    SERVER_DELAY_MS + random.nextInt(ANSWER_MS),
                     () -> {
-                        LimitWord word =
+                        AnnouncedLimit announced =
                                 limit.isPresent()
-                                        ? LimitWord.of(limit.getAsDouble())
-                                        : LimitWord.none();
-                        here(() -> answered(word, sentMs));
+                                        ? AnnouncedLimit.of(limit.getAsDouble())
+                                        : AnnouncedLimit.none();
+                        runInProcess(() -> handleAnswer(announced, sentMs));
                     });
         }
 
-        private void answered(LimitWord word, long sentMs) {
-            if (word.kind() == LimitWord.Kind.NAMED) {
-                toldMs = Math.min(toldMs, nowMs + TOLD_MS);
+        private void handleAnswer(AnnouncedLimit announced, long sentMs) {
+            if (announced.kind() == AnnouncedLimit.Kind.ANNOUNCED) {
+                mustComplyFromMs = Math.min(mustComplyFromMs, nowMs + COMPLIANCE_MS);
             }
-            shared.answered(SERVER, word, "request", sentMs);
+            shared.handleAnswer(SERVER, announced, "request", sentMs);
         }
     }
 
-    /** Time in which a router that was told has to keep to a limit, in ms. */
-    static final long TOLD_MS = 500;
+    /** Time after the announcement of a limit within which a router must comply with it, in ms. */
+    static final long COMPLIANCE_MS = 500;
 
     /**
      * Creates routers that all know each other, with links that come up one after the other.
      *
-     * @param lost part of the words between them that is lost
+     * @param lost fraction of the messages between routers that is lost
      */
     PermitFleet(int routers, double lost, long seed) {
         random = new Random(seed);
@@ -255,7 +259,7 @@
         for (int i = 0; i < routers; i++) {
             nodes.add(new Node(i));
         }
-        nodes.forEach(n -> nodes.forEach(peer -> n.permits.learn(peer.id)));
+        nodes.forEach(n -> nodes.forEach(peer -> n.permits.addRouter(peer.id)));
         nodes.forEach(this::linkSoon);
     }
 
@@ -263,21 +267,21 @@
         return nodes.get(Integer.parseInt(id.value().substring(1)));
     }
 
-    void in(long ms, Runnable what) {
-        due.add(new Due(nowMs + ms, number++, what));
+    void schedule(long ms, Runnable what) {
+        events.add(new Event(nowMs + ms, nextEventNumber++, what));
     }
 
     void runUntil(long untilMs) {
-        while (!due.isEmpty() && due.peek().atMs() <= untilMs) {
-            Due next = due.poll();
+        while (!events.isEmpty() && events.peek().atMs() <= untilMs) {
+            Event next = events.poll();
             nowMs = next.atMs();
             next.what().run();
         }
         nowMs = untilMs;
     }
 
-    /** From now on the server names this limit in its answers; empty if it names none. */
-    void name(OptionalDouble perSecond) {
+    /** Sets the limit that the server announces from now on; empty for no limit. */
+    void announce(OptionalDouble perSecond) {
         limit = perSecond;
     }
 
@@ -287,62 +291,65 @@
             if (shares[i] > 0) {
                 Node node = nodes.get(i);
                 double gapMs = 1_000 / (perSecond * shares[i]);
-                next(node, gapMs, untilMs, () -> node.request(MOST_ASKS));
+                scheduleNext(node, gapMs, untilMs, () -> node.request(MAX_PERMIT_REQUESTS));
             }
         }
     }
 
-    /** Has each router repeat its share of {@code perSecond} requests until {@code untilMs}. */
-    void repeatLoad(double[] shares, double perSecond, long untilMs) {
+    /** Gives each router its share of {@code perSecond} retries until {@code untilMs}. */
+    void retryLoad(double[] shares, double perSecond, long untilMs) {
         for (int i = 0; i < shares.length; i++) {
             if (shares[i] > 0) {
                 Node node = nodes.get(i);
-                next(node, 1_000 / (perSecond * shares[i]), untilMs, node::repeat);
+                scheduleNext(node, 1_000 / (perSecond * shares[i]), untilMs, node::retry);
             }
         }
     }
 
-    private void next(Node node, double gapMs, long untilMs, Runnable what) {
+    private void scheduleNext(Node node, double gapMs, long untilMs, Runnable what) {
         long waitMs = Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * gapMs));
         if (nowMs + waitMs > untilMs) {
             return;
         }
-        in(
+        schedule(
                 waitMs,
                 () -> {
-                    if (node.up && !node.stopped) {
+                    if (node.isUp && !node.isSuspended) {
                         what.run();
                     }
-                    next(node, gapMs, untilMs, what);
+                    scheduleNext(node, gapMs, untilMs, what);
                 });
     }
 
-    private boolean reach(Node from, Node to) {
-        return from.up && to.up && from.side == to.side;
+    private boolean canReach(Node from, Node to) {
+        return from.isUp && to.isUp && from.side == to.side;
     }
 
     private void deliver(Node from, Node to, Runnable what) {
-        boolean arrives = reach(from, to) && random.nextDouble() >= lost;
+        boolean arrives = canReach(from, to) && random.nextDouble() >= lost;
         if (arrives) {
-            in(1 + random.nextInt(MOST_DELAY_MS), () -> to.here(what));
+            schedule(1 + random.nextInt(MAX_DELAY_MS), () -> to.runInProcess(what));
         }
     }
 
     private void linkSoon(Node node) {
         for (Node peer : nodes) {
             if (peer != node) {
-                in(random.nextInt(LINK_AGAIN_MS), () -> linkUp(node, peer));
-                in(random.nextInt(LINK_AGAIN_MS), () -> linkUp(peer, node));
+                schedule(random.nextInt(MAX_RELINK_MS), () -> linkUp(node, peer));
+                schedule(random.nextInt(MAX_RELINK_MS), () -> linkUp(peer, node));
             }
         }
     }
 
     private void linkUp(Node node, Node peer) {
-        if (!reach(node, peer) || node.stopped || peer.stopped || !node.linked.add(peer.index)) {
+        if (!canReach(node, peer)
+                || node.isSuspended
+                || peer.isSuspended
+                || !node.linked.add(peer.index)) {
             return;
         }
         node.permits.linkUp(peer.id);
-        node.shared.all().ifPresent(news -> node.send(peer.id, news));
+        node.shared.snapshot().ifPresent(update -> node.send(peer.id, update));
     }
 
     private void linkDown(Node node, Node peer) {
@@ -351,74 +358,74 @@
         }
     }
 
-    private void dropSilent(Node node, Node peer) {
-        in(
-                SILENCE_MS + random.nextInt(MOST_DELAY_MS),
+    private void closeLinkIfSilent(Node node, Node peer) {
+        schedule(
+                SILENCE_MS + random.nextInt(MAX_DELAY_MS),
                 () -> {
-                    if (!reach(node, peer) || peer.stopped) {
-                        node.here(() -> linkDown(node, peer));
+                    if (!canReach(node, peer) || peer.isSuspended) {
+                        node.runInProcess(() -> linkDown(node, peer));
                     }
                 });
     }
 
-    /** Ends a router's process; it starts again with nothing known. */
+    /** Kills a router's process; it restarts without state. */
     void kill(int router) {
         Node node = nodes.get(router);
-        if (!node.up || node.stopped) {
+        if (!node.isUp || node.isSuspended) {
             return;
         }
-        node.up = false;
-        node.life++;
+        node.isUp = false;
+        node.incarnation++;
         node.linked.clear();
         for (Node peer : nodes) {
-            in(1 + random.nextInt(MOST_DELAY_MS), () -> linkDown(peer, node));
+            schedule(1 + random.nextInt(MAX_DELAY_MS), () -> linkDown(peer, node));
         }
-        in(
+        schedule(
                 RESTART_MS,
                 () -> {
-                    node.up = true;
-                    node.begin();
-                    nodes.forEach(peer -> node.permits.learn(peer.id));
+                    node.isUp = true;
+                    node.start();
+                    nodes.forEach(peer -> node.permits.addRouter(peer.id));
                     linkSoon(node);
                 });
     }
 
-    /** Stops a router's process for a time; what comes meanwhile is read when it goes on. */
-    void stop(int router, long forMs) {
+    /** Suspends a router's process; it handles the messages of that time when it resumes. */
+    void suspend(int router, long forMs) {
         Node node = nodes.get(router);
-        if (!node.up || node.stopped) {
+        if (!node.isUp || node.isSuspended) {
             return;
         }
-        node.stopped = true;
-        nodes.forEach(peer -> dropSilent(peer, node));
-        in(
+        node.isSuspended = true;
+        nodes.forEach(peer -> closeLinkIfSilent(peer, node));
+        schedule(
                 forMs,
                 () -> {
-                    node.stopped = false;
-                    List<Runnable> held = ImmutableList.copyOf(node.held);
-                    node.held.clear();
-                    held.forEach(Runnable::run);
+                    node.isSuspended = false;
+                    List<Runnable> deferred = ImmutableList.copyOf(node.deferred);
+                    node.deferred.clear();
+                    deferred.forEach(Runnable::run);
                     linkSoon(node);
                 });
     }
 
-    /** Cuts the first {@code count} routers off from the others for a time. */
-    void cut(int count, long forMs) {
-        side(count, 1);
+    /** Partitions the first {@code count} routers from the others for a time. */
+    void partition(int count, long forMs) {
+        assignSide(count, 1);
         for (Node node : nodes) {
             nodes.stream()
                     .filter(peer -> peer.side != node.side)
-                    .forEach(peer -> dropSilent(node, peer));
+                    .forEach(peer -> closeLinkIfSilent(node, peer));
         }
-        in(
+        schedule(
                 forMs,
                 () -> {
-                    side(count, 0);
+                    assignSide(count, 0);
                     nodes.forEach(this::linkSoon);
                 });
     }
 
-    private void side(int count, int side) {
+    private void assignSide(int count, int side) {
         nodes.subList(0, count).forEach(n -> n.side = side);
     }
 
@@ -426,19 +433,21 @@
         return arrivals;
     }
 
-    List<Arrival> repeats() {
-        return repeats;
+    List<Arrival> retries() {
+        return retries;
     }
 
-    int asksSent() {
-        return asksSent;
+    int permitRequestsSent() {
+        return permitRequestsSent;
     }
 
-    /** Returns the most requests in a window of {@code windowMs} from {@code fromMs} on. */
-    static int most(List<Arrival> arrivals, long windowMs, long fromMs) {
+    /**
+     * Returns the maximum number of requests in a window of {@code windowMs} since {@code fromMs}.
+     */
+    static int maxInWindow(List<Arrival> arrivals, long windowMs, long fromMs) {
         List<Long> times =
                 arrivals.stream()
-                        .filter(Arrival::told)
+                        .filter(Arrival::mustComply)
                         .map(Arrival::atMs)
                         .filter(t -> t >= fromMs)
                         .sorted()
@@ -455,12 +464,12 @@
     }
 
     /** Runs {@code what} at {@code atMs}. */
-    void at(long atMs, Consumer<PermitFleet> what) {
-        in(atMs - nowMs, () -> what.accept(this));
+    void scheduleAt(long atMs, Consumer<PermitFleet> what) {
+        schedule(atMs - nowMs, () -> what.accept(this));
     }
 
-    /** Returns the limit that a router believes in. */
-    OptionalDouble believed(int router) {
+    /** Returns the limit that a router has stored. */
+    OptionalDouble storedLimit(int router) {
         return nodes.get(router).limits.perSecond(SERVER);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/permits/PermitIssuerTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitIssuerTest.java
@@ -5,91 +5,95 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import org.masticweir.catalog.ServerLife;
+import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.id.EngineId;
 import org.masticweir.id.RouterId;
 
-/** Who gets the permits of one rate, and how many there are. */
+/** Tests which requests get a permit of one rate, and how many permits are granted. */
 class PermitIssuerTest {
     private static final PermitKey KEY =
-            PermitKey.ofServer(ServerLife.ofUnknownStart(EngineId.of("i-1")));
+            PermitKey.ofServer(ServerIncarnation.ofUnknownStart(EngineId.of("i-1")));
 
     private static final SharedRate EIGHT = SharedRate.ofServer(8);
     private static final int URGENT = 0;
-    private static final int LATER = 3;
+    private static final int LESS_URGENT = 3;
 
     private final PermitIssuer issuer = new PermitIssuer();
 
-    private PermitDecision ask(int urgency, long nowMs) {
-        return ask("r1", urgency, 0, nowMs);
+    private PermitDecision request(int urgency, long nowMs) {
+        return request("r1", urgency, 0, nowMs);
     }
 
-    private PermitDecision ask(String router, int urgency, long sinceMs, long nowMs) {
-        return issuer.ask(RouterId.of(router), KEY, urgency, EIGHT, sinceMs, nowMs);
+    private PermitDecision request(String router, int urgency, long sinceMs, long nowMs) {
+        return issuer.request(RouterId.of(router), KEY, urgency, EIGHT, sinceMs, nowMs);
     }
 
     private int grantedAtOnce(long sinceMs, long nowMs) {
         int granted = 0;
-        while (ask("r1", URGENT, sinceMs, nowMs).granted()) {
+        while (request("r1", URGENT, sinceMs, nowMs).isGranted()) {
             granted++;
         }
         return granted;
     }
 
     @Test
-    void savesUpAQuarterOfASecondAndNoMore() {
+    void savesTokensOfAQuarterSecondAtMost() {
         assertEquals(2, grantedAtOnce(0, 60_000));
         assertEquals(0, grantedAtOnce(0, 60_050));
         assertEquals(1, grantedAtOnce(0, 60_125));
     }
 
-    /** What another issuer granted a moment ago would be granted once more. */
+    /** Otherwise permits that the previous issuer has just granted would be granted again. */
     @Test
-    void grantsNothingOfTheTimeBeforeItBecameTheIssuer() {
+    void grantsNoTokensFromBeforeItBecameTheIssuer() {
         assertEquals(0, grantedAtOnce(10_000, 10_050));
         assertEquals(1, grantedAtOnce(10_000, 10_130));
     }
 
     @Test
-    void dropsWhatItSavedUpWhileAnotherRouterMayHaveIssued() {
+    void discardsTokensSavedWhileAnotherRouterMayHaveIssued() {
         grantedAtOnce(0, 1_000);
         assertEquals(0, grantedAtOnce(20_000, 20_050));
     }
 
-    /** Lookups would take what bookings wait for. */
+    /** Otherwise less urgent lookups would take the tokens that bookings wait for. */
     @Test
-    void leavesATokenToMoreUrgentAsksThatWait() {
+    void leavesATokenForWaitingUrgentRequests() {
         grantedAtOnce(0, 1_000);
-        assertFalse(ask(URGENT, 1_050).granted());
-        assertFalse(ask("r2", LATER, 0, 1_130).granted(), "one token, for the urgent ask");
-        assertTrue(ask(URGENT, 1_140).granted());
+        assertFalse(request(URGENT, 1_050).isGranted());
+        assertFalse(
+                request("r2", LESS_URGENT, 0, 1_130).isGranted(),
+                "one token, reserved for the urgent request");
+        assertTrue(request(URGENT, 1_140).isGranted());
     }
 
-    /** What more urgent callers leave must not lie unused. */
+    /** Tokens that more urgent callers don't use must be granted to others. */
     @Test
-    void grantsLessUrgentAsksWhatIsLeft() {
+    void grantsRemainingTokensToLessUrgentRequests() {
         grantedAtOnce(0, 1_000);
-        assertFalse(ask(URGENT, 1_050).granted());
-        assertTrue(ask("r2", LATER, 0, 1_260).granted(), "two tokens, one for each");
-        assertTrue(ask(URGENT, 1_270).granted());
+        assertFalse(request(URGENT, 1_050).isGranted());
+        assertTrue(request("r2", LESS_URGENT, 0, 1_260).isGranted(), "two tokens, one for each");
+        assertTrue(request(URGENT, 1_270).isGranted());
     }
 
     @Test
-    void countsUsesThatDidNotWaitForAPermit() {
+    void countsUsesWithoutAPermit() {
         grantedAtOnce(0, 1_000);
-        issuer.used(KEY, EIGHT, 0, 1_010);
-        assertFalse(ask(URGENT, 1_130).granted());
-        assertTrue(ask(URGENT, 1_260).granted());
+        issuer.recordUsage(KEY, EIGHT, 0, 1_010);
+        assertFalse(request(URGENT, 1_130).isGranted());
+        assertTrue(request(URGENT, 1_260).isGranted());
     }
 
     @Test
-    void spacesTheAsksOfManyRouters() {
+    void spacesTheRequestsOfManyRouters() {
         for (int i = 0; i < 95; i++) {
-            ask("r" + i, URGENT, 0, 1_000);
+            request("r" + i, URGENT, 0, 1_000);
         }
-        assertTrue(ask("r1", URGENT, 0, 1_001).againMs() >= 1_000);
-        assertTrue(ask("r1", URGENT, 0, 20_000).granted(), "the others have no callers any more");
-        assertTrue(ask("r1", URGENT, 0, 20_001).granted());
-        assertTrue(ask("r1", URGENT, 0, 20_002).againMs() <= 125);
+        assertTrue(request("r1", URGENT, 0, 1_001).retryAfterMs() >= 1_000);
+        assertTrue(
+                request("r1", URGENT, 0, 20_000).isGranted(),
+                "the other routers no longer have callers");
+        assertTrue(request("r1", URGENT, 0, 20_001).isGranted());
+        assertTrue(request("r1", URGENT, 0, 20_002).retryAfterMs() <= 125);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/relay/ControlThreadTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ControlExecutorTest.java
@@ -6,19 +6,22 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Steps that fail on the control thread. */
-class ControlThreadTest {
+/** Tasks that fail on the control thread. */
+class ControlExecutorTest {
     private static final long WAIT_MS = 5_000;
 
-    /** A router never hears of a newer configuration: its pulse had failed once and was over. */
+    /**
+     * After one failure of its periodic status task, which then never ran again, a router received
+     * no newer configuration.
+     */
     @Test
-    void periodicStepGoesOnAfterAFailure() throws InterruptedException {
+    void periodicTaskContinuesAfterAFailure() throws InterruptedException {
         CountDownLatch runs = new CountDownLatch(3);
-        ControlThread control = new ControlThread();
+        ControlExecutor control = new ControlExecutor();
         control.scheduleWithFixedDelay(
                 () -> {
                     runs.countDown();
-                    throw new IllegalStateException("asked for by the test");
+                    throw new IllegalStateException("thrown by the test");
                 },
                 1,
                 1,
--- a/masticweir/src/test/java/org/masticweir/relay/ExchangeEndTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ExchangeCompletionTest.java
@@ -20,11 +20,11 @@
 import org.masticweir.http.HttpHead;
 import org.masticweir.http.HttpHeaders;
 
-/** When a request's exchange counts as over. */
-class ExchangeEndTest {
+/** Tests when an exchange counts as complete. */
+class ExchangeCompletionTest {
     private static final long WAIT_MS = 10_000;
 
-    /** More than the system keeps for a caller that does not read. */
+    /** More than the operating system buffers for a caller that does not read. */
     private static final int LONG_BYTES = 16 << 20;
 
     private static final int RECEIVE_BYTES = 4 << 10;
@@ -50,9 +50,10 @@
     }
 
     private void answer(HttpServerExchange exchange) {
-        ExchangeEnd.onEnd(exchange, new KeptConnections(), () -> ended.complete(null));
+        ExchangeCompletion.addListener(
+                exchange, new KeepAliveConnections(), () -> ended.complete(null));
         HttpHead head = new HttpHead(200, HttpHeaders.copyOf(Map.of()));
-        new CallerAnswer(exchange, () -> {}).whole(head, new byte[answerBytes]);
+        new CallerAnswerWriter(exchange, () -> {}).sendComplete(head, new byte[answerBytes]);
         endedWithTheCall.complete(ended.isDone());
     }
 
@@ -76,9 +77,12 @@
         return bytes;
     }
 
-    /** A router ends over the answer of a caller that reads slowly: it counted as given. */
+    /**
+     * Guards against a router that exits before a slow caller has read its whole answer, because
+     * the answer already counted as delivered.
+     */
     @Test
-    void isNotBeforeTheAnswersLastByte() throws Exception {
+    void completesAfterTheLastByteOfTheAnswer() throws Exception {
         try (Socket caller = ask()) {
             assertFalse(endedWithTheCall.get(WAIT_MS, TimeUnit.MILLISECONDS));
             assertFalse(ended.isDone());
@@ -88,7 +92,7 @@
     }
 
     @Test
-    void isTheCloseOfACallerThatDoesNotRead() throws Exception {
+    void completesWhenACallerThatDoesNotReadCloses() throws Exception {
         try (Socket caller = ask()) {
             endedWithTheCall.get(WAIT_MS, TimeUnit.MILLISECONDS);
         }
@@ -96,7 +100,7 @@
     }
 
     @Test
-    void isSoonForAShortAnswer() throws Exception {
+    void completesSoonForAShortAnswer() throws Exception {
         answerBytes = 1;
         try (Socket caller = ask()) {
             ended.get(WAIT_MS, TimeUnit.MILLISECONDS);
--- a/masticweir/src/test/java/org/masticweir/relay/RelaySettingsTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/RelaySettingsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.masticweir.error.MasticweirException;
 
-/** Which settings of a router are read, and what the others are answered. */
+/** Valid settings of a router, and the error messages for invalid ones. */
 class RelaySettingsTest {
     private static RelaySettings parse(String share, String allowance, String graceS) {
         return RelaySettings.parse(
@@ -28,8 +28,8 @@
     }
 
     /**
-     * No caller is served: a deployment whose budgets the platform has scaled hands its routers a
-     * number with a fraction, each router takes it for an error and ends, again at each start.
+     * A platform that scales retry budgets writes an allowance with a fraction. Routers rejected it
+     * as invalid and ended at each start, so no caller was served.
      */
     @Nested
     class Numbers {
@@ -53,20 +53,20 @@
 
         @ParameterizedTest
         @CsvSource({"-1", "-0.5", "1000000.5", "Infinity", "NaN", "many", "''"})
-        void otherAllowancesAreNamedWithWhatIsAllowed(String text) {
+        void invalidAllowanceIsReportedWithTheValidRange(String text) {
             assertProblem(
                     "[retries] allowance", "from 0.0 to 1000000.0", () -> parse("0.8", text, "8"));
         }
 
         @ParameterizedTest
         @CsvSource({"-0.1", "10.1", "Infinity", "NaN", "most", "''"})
-        void otherSharesAreNamedWithWhatIsAllowed(String text) {
+        void invalidShareIsReportedWithTheValidRange(String text) {
             assertProblem("[retries] share", "from 0.0 to 10.0", () -> parse(text, "150", "8"));
         }
 
         @ParameterizedTest
         @CsvSource({"-1", "600.5", "Infinity", "NaN", "soon", "''"})
-        void otherGracesAreNamedWithWhatIsAllowed(String text) {
+        void invalidGraceIsReportedWithTheValidRange(String text) {
             assertProblem(
                     "[shutdown] grace_s", "from 0.0 to 600.0", () -> parse("0.8", "150", text));
         }
--- a/masticweir/src/test/java/org/masticweir/relay/RelayShutdownTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/RelayShutdownTest.java
@@ -9,19 +9,19 @@
 import org.junit.jupiter.api.Test;
 import org.masticweir.time.ManualScheduler;
 
-/** How a router uses its time of grace. */
+/** Shutdown of a router within its grace period. */
 class RelayShutdownTest {
     private static final long GRACE_MS = 8_000;
 
-    /** Streams still at work in the last sixth of the grace may be cut off, but none before. */
+    /** Streams may be cut off in the last sixth of the grace period, but not earlier. */
     private static final long LAST_SIXTH_MS = GRACE_MS - GRACE_MS / 6;
 
     private final ManualScheduler control = new ManualScheduler();
-    private final RelayIntake intake = new RelayIntake();
+    private final DrainingAdmission intake = new DrainingAdmission();
     private long idleClosedAtMs;
     private long endedAtMs;
-    private long lateMs;
-    private int underWayAtTheEnd;
+    private long answerDelayMs;
+    private int inFlightAtTheEnd;
     private final RelayShutdown shutdown =
             new RelayShutdown(
                     intake, this::closeIdle, this::endRequests, control, control.clock(), GRACE_MS);
@@ -32,87 +32,90 @@
 
     private void endRequests() {
         endedAtMs = control.clock().nowMs();
-        if (lateMs > 0) {
-            control.at(endedAtMs + lateMs, intake::end);
+        if (answerDelayMs > 0) {
+            control.at(endedAtMs + answerDelayMs, intake::requestEnded);
         }
     }
 
     @Test
-    void isOverOnceTheBalancerHasNoticedAndNothingIsUnderWay() {
+    void completesAfterTheBalancerReactsIfNoRequestIsInFlight() {
         CompletableFuture<Void> done = shutdown.start(0);
-        control.runTo(RelayIntake.BALANCER_MS - 1);
+        control.runTo(DrainingAdmission.BALANCER_DETECTION_MS - 1);
         assertFalse(done.isDone());
-        control.runTo(RelayIntake.BALANCER_MS);
+        control.runTo(DrainingAdmission.BALANCER_DETECTION_MS);
         assertTrue(done.isDone());
-        assertFalse(intake.takes(1, RelayIntake.BALANCER_MS));
+        assertFalse(intake.admits(1, DrainingAdmission.BALANCER_DETECTION_MS));
     }
 
     @Test
-    void waitsForWhatIsUnderWay() {
-        intake.begin();
+    void waitsForRequestsInFlight() {
+        intake.requestStarted();
         CompletableFuture<Void> done = shutdown.start(0);
         control.runTo(5_000);
         assertFalse(done.isDone());
-        intake.end();
+        intake.requestEnded();
         control.runTo(5_100);
         assertTrue(done.isDone());
         control.runTo(GRACE_MS);
         assertEquals(0, endedAtMs);
     }
 
-    /** Callers are refused over connections that they had kept, though others have routers free. */
+    /**
+     * Callers were refused on connections that they had kept open, although other routers could
+     * have served them.
+     */
     @Test
     void closesIdleConnectionsOnceTheBalancerSendsNewOnesElsewhere() {
         shutdown.start(0);
-        control.runTo(RelayIntake.BALANCER_MS);
+        control.runTo(DrainingAdmission.BALANCER_DETECTION_MS);
         assertTrue(idleClosedAtMs >= 2_000, "at " + idleClosedAtMs);
-        assertTrue(idleClosedAtMs < RelayIntake.STREAMS_MS, "at " + idleClosedAtMs);
+        assertTrue(idleClosedAtMs < DrainingAdmission.STREAM_ADMISSION_MS, "at " + idleClosedAtMs);
     }
 
-    /** A caller sees its connection break, as the process ended with its request under way. */
+    /** The process ended with a request in flight, and its caller's connection broke. */
     @Test
     void endsRequestsWithAnAnswerBeforeTheProcessEnds() {
-        intake.begin();
+        intake.requestStarted();
         CompletableFuture<Void> done = shutdown.start(0);
         control.runTo(GRACE_MS);
         assertTrue(done.isDone());
         assertTrue(endedAtMs >= LAST_SIXTH_MS, "at " + endedAtMs);
-        assertFalse(intake.takes(1, endedAtMs));
+        assertFalse(intake.admits(1, endedAtMs));
     }
 
-    /** The process ends over requests that a busy thread was about to answer. */
+    /** The process ended before a busy thread could write the answers of the last requests. */
     @Test
-    void waitsForAnswersOfALateThread() {
-        lateMs = 250;
-        intake.begin();
+    void waitsForAnswersOnALateThread() {
+        answerDelayMs = 250;
+        intake.requestStarted();
         CompletableFuture<Void> done = shutdown.start(0);
-        done.thenRun(() -> underWayAtTheEnd = intake.underWay());
+        done.thenRun(() -> inFlightAtTheEnd = intake.inFlightCount());
         control.runTo(GRACE_MS);
         assertTrue(done.isDone());
-        assertEquals(0, underWayAtTheEnd);
+        assertEquals(0, inFlightAtTheEnd);
     }
 
     @Test
-    void takesNoRequestThatMayEndLater() {
-        intake.begin();
+    void refusesRequestsThatMayEndLater() {
+        intake.requestStarted();
         shutdown.start(0);
-        long endsMs = intake.leftMs(0);
-        assertTrue(intake.takes(endsMs - 4_000 - 1, 4_000));
-        assertFalse(intake.takes(endsMs - 4_000, 4_000));
+        long endsMs = intake.remainingMs(0);
+        assertTrue(intake.admits(endsMs - 4_000 - 1, 4_000));
+        assertFalse(intake.admits(endsMs - 4_000, 4_000));
         control.runTo(GRACE_MS);
         assertEquals(endsMs, endedAtMs);
     }
 
     /**
-     * A router that was told to leave while it started counts its grace from its start, and is
-     * killed with requests under way that it had time for by its own count.
+     * A router that received the shutdown request during its start counted the grace period from
+     * the end of the start. It was killed with requests in flight that it expected to finish.
      */
     @Test
-    void countsFromTheOrderThatWaitedForTheStart() {
-        intake.begin();
-        control.runTo(RelayIntake.STREAMS_MS);
+    void gracePeriodBeginsAtTheShutdownRequest() {
+        intake.requestStarted();
+        control.runTo(DrainingAdmission.STREAM_ADMISSION_MS);
         CompletableFuture<Void> done = shutdown.start(0);
-        assertFalse(intake.takesStream(OptionalLong.of(1), RelayIntake.STREAMS_MS));
+        assertFalse(intake.admitsStream(OptionalLong.of(1), DrainingAdmission.STREAM_ADMISSION_MS));
         control.runTo(GRACE_MS);
         assertTrue(done.isDone());
         assertTrue(endedAtMs < GRACE_MS, "at " + endedAtMs);
--- a/masticweir/src/test/java/org/masticweir/retry/RetryTest.java
+++ b/masticweir/src/test/java/org/masticweir/retry/RetryTest.java
@@ -19,9 +19,9 @@
 import org.masticweir.id.TeamId;
 import org.masticweir.id.WorkClassId;
 import org.masticweir.retry.RetryDecision.GiveUp;
-import org.masticweir.retry.RetryDecision.SendAgain;
+import org.masticweir.retry.RetryDecision.Retry;
 
-/** Tests what is sent again, and how often at most. */
+/** Tests which attempts are retried, and the limit of retries. */
 class RetryTest {
     private static final WorkClassId REPORTS = WorkClassId.of("reports");
     private static final TeamId TEAM = TeamId.of("a");
@@ -43,15 +43,15 @@
                 OptionalLong.empty());
     }
 
-    /** What the policy sends again. */
+    /** Decisions of the policy. */
     @Nested
     class Policy {
         /*
-         * A family gets a letter twice. The engine takes the request, its answer is lost, and the
-         * router sends it again to another engine. Cause: a lost answer taken for a refusal.
+         * A lost answer must not be treated as a refusal: the engine may have run the request, and
+         * a retry at another engine would send a family the same letter twice.
          */
         @Test
-        void nonIdempotentWorkThatMayHaveRunIsNeverSentAgain() {
+        void nonIdempotentRequestThatMayHaveRunIsNotRetried() {
             RetryDecision d = policy.decide(failed(Verdict.MAY_HAVE_RUN, false, 1, 9_000), 0);
             GiveUp g = assertInstanceOf(GiveUp.class, d);
             assertEquals(Verdict.MAY_HAVE_RUN, g.verdict());
@@ -59,17 +59,17 @@
         }
 
         @Test
-        void whatIsSafeIsSentAgainAFewTimes() {
+        void safeRequestIsRetriedUpToMaxSends() {
             for (boolean idempotent : List.of(true, false)) {
                 FailedAttempt f = failed(Verdict.NOT_RUN, idempotent, 1, 9_000);
-                assertInstanceOf(SendAgain.class, policy.decide(f, 0));
+                assertInstanceOf(Retry.class, policy.decide(f, 0));
             }
             RetryDecision third = policy.decide(failed(Verdict.NOT_RUN, true, 3, 9_000), 0);
             assertTrue(((GiveUp) third).retryAfterMs().isPresent());
         }
 
         @Test
-        void nothingIsSentAcrossTheDeadline() {
+        void nothingIsRetriedPastDeadline() {
             FailedAttempt f = failed(Verdict.NOT_RUN, true, 1, 1_000);
             assertInstanceOf(GiveUp.class, policy.decide(f, 850));
             RetryDecision past = policy.decide(f, 1_000);
@@ -77,27 +77,27 @@
         }
     }
 
-    /** How many retries the budget allows. */
+    /** Limits of the budget. */
     @Nested
     class Budget {
         @Test
-        void smallTeamsCannotAddUpTheirFloors() {
+        void floorsOfSmallTeamsDoNotAddUp() {
             RetryBudget budget = RetryBudget.create();
             int retries = 0;
             for (int n = 0; n < 1_000; n++) {
                 TeamId team = TeamId.of("t" + n);
-                budget.firstSent(REPORTS, team, n);
+                budget.recordFirstSend(REPORTS, team, n);
                 retries += budget.tryRetry(REPORTS, team, n) ? 1 : 0;
             }
             assertTrue(retries <= 100, retries + " retries of 1000 first sends");
         }
 
         @Test
-        void oneTeamCannotUseUpAnothersShare() {
+        void oneTeamCannotExhaustShareOfAnother() {
             RetryBudget budget = RetryBudget.create();
             for (int n = 0; n < 1_000; n++) {
-                budget.firstSent(REPORTS, TEAM, 0);
-                budget.firstSent(REPORTS, TeamId.of("b"), 0);
+                budget.recordFirstSend(REPORTS, TEAM, 0);
+                budget.recordFirstSend(REPORTS, TeamId.of("b"), 0);
             }
             int ofA = 0;
             while (budget.tryRetry(REPORTS, TEAM, 0)) {
@@ -118,12 +118,12 @@
         int retries = 0;
         for (int gap : gapsMs) {
             now += gap;
-            budget.firstSent(REPORTS, TEAM, now);
+            budget.recordFirstSend(REPORTS, TEAM, now);
             for (int n = 0; n < 3 && budget.tryRetry(REPORTS, TEAM, now); n++) {
                 retries++;
             }
         }
-        long windows = now / (SendWindow.SLOTS * SendWindow.SLOT_MS) + 2;
+        long windows = now / (SendWindow.BUCKET_COUNT * SendWindow.BUCKET_MS) + 2;
         double allowed = Math.max(0.1 * gapsMs.size(), 0) + floor * windows;
         assertTrue(retries <= allowed, retries + " retries, " + gapsMs.size() + " first sends");
     }
