--- a/masticweir/src/main/java/org/masticweir/permits/SharedLimits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/SharedLimits.java
@@ -152,7 +152,7 @@
         changes.inc();
         updateCount();
         LOG.info(
-                "limits: {} accepts {}, before {}, {}",
+                "limits: {} takes {}, {} before, {}",
                 server,
                 perSecond(after),
                 perSecond(before),
