--- a/masticweir/src/main/java/org/masticweir/forward/ContentPolicy.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ContentPolicy.java
@@ -8,7 +8,7 @@
     SendRule rule(long nowMs);
 
     /** Returns the remaining time for which rejected content is not sent, in ms. */
-    OptionalLong holdLeftMs(long nowMs);
+    OptionalLong remainingQuarantineMs(long nowMs);
 
     /** Returns the policy of a request that may always be sent. */
     static ContentPolicy allowAll() {
@@ -19,7 +19,7 @@
             }
 
             @Override
-            public OptionalLong holdLeftMs(long nowMs) {
+            public OptionalLong remainingQuarantineMs(long nowMs) {
                 return OptionalLong.empty();
             }
         };
--- a/masticweir/src/main/java/org/masticweir/forward/HeldPermits.java
+++ b/masticweir/src/main/java/org/masticweir/forward/HeldPermits.java
@@ -22,7 +22,7 @@
     private OptionalLong retryPermitExpiresMs = OptionalLong.empty();
 
     /** Expiry of the retry permit that the send in flight has used. */
-    private OptionalLong usedRetryPermit = OptionalLong.empty();
+    private OptionalLong usedRetryPermitExpiresMs = OptionalLong.empty();
 
     /** Records the decision on a permit for a rate-limited server. */
     void recordDecision(BackendServer limitedServer, boolean granted, long nowMs) {
@@ -48,12 +48,12 @@
     /** Uses up the permits for a send. */
     void consume() {
         permittedServer = Optional.empty();
-        usedRetryPermit = retryPermitExpiresMs;
+        usedRetryPermitExpiresMs = retryPermitExpiresMs;
         retryPermitExpiresMs = OptionalLong.empty();
     }
 
     /** Restores the retry permit, because nothing of the send left this process. */
     void restoreRetryPermit() {
-        retryPermitExpiresMs = usedRetryPermit;
+        retryPermitExpiresMs = usedRetryPermitExpiresMs;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/forward/LoadEntry.java
+++ b/masticweir/src/main/java/org/masticweir/forward/LoadEntry.java
@@ -13,7 +13,7 @@
     private final RequestSize size;
     private final Optional<ServerIncarnation> copyHolder;
     private final long copyTokens;
-    private boolean endPrefill;
+    private boolean isPrefillEnded;
     private boolean isClosed;
 
     private LoadEntry(
@@ -44,8 +44,8 @@
 
     /** Records the end of the prefill, once. */
     public void endPrefill() {
-        if (!endPrefill && !isClosed) {
-            endPrefill = true;
+        if (!isPrefillEnded && !isClosed) {
+            isPrefillEnded = true;
             loads.recordPrefillEnd(server, size);
         }
     }
--- a/masticweir/src/main/java/org/masticweir/forward/LoadTracker.java
+++ b/masticweir/src/main/java/org/masticweir/forward/LoadTracker.java
@@ -24,14 +24,14 @@
     static final long REPORT_VALID_MS = 400;
 
     private final Map<ServerIncarnation, TrackedServer> servers = new HashMap<>();
-    private final Map<RouterId, Map<ServerIncarnation, ServerLoad>> peers = new HashMap<>();
-    private final Set<ServerIncarnation> changed = new HashSet<>();
+    private final Map<RouterId, Map<ServerIncarnation, ServerLoad>> peerLoads = new HashMap<>();
+    private final Set<ServerIncarnation> changedEngines = new HashSet<>();
 
     /** Load of one server. */
     private static final class TrackedServer {
-        private ServerLoad own = ServerLoad.none();
-        private ServerLoad others = ServerLoad.none();
-        private int reportedOthers;
+        private ServerLoad ownLoad = ServerLoad.none();
+        private ServerLoad peerLoad = ServerLoad.none();
+        private int reportedOtherRequests;
         private long reportedAtMs = Long.MIN_VALUE / 2;
     }
 
@@ -43,17 +43,17 @@
 
     /** Records a request that was sent to {@code incarnation}. */
     public void recordSend(ServerIncarnation incarnation, RequestSize size) {
-        updateOwnLoad(incarnation, server(incarnation).own.plusRequest(size));
+        updateOwnLoad(incarnation, trackedServer(incarnation).ownLoad.plusRequest(size));
     }
 
     /** Records the end of a prefill: the first event arrived, or the request ended. */
     public void recordPrefillEnd(ServerIncarnation incarnation, RequestSize size) {
-        updateOwnLoad(incarnation, server(incarnation).own.minusPrefill(size));
+        updateOwnLoad(incarnation, trackedServer(incarnation).ownLoad.minusPrefill(size));
     }
 
     /** Records the end of a request at {@code incarnation}, after {@link #recordPrefillEnd}. */
     public void recordEnd(ServerIncarnation incarnation, RequestSize size) {
-        updateOwnLoad(incarnation, server(incarnation).own.minusRequest(size));
+        updateOwnLoad(incarnation, trackedServer(incarnation).ownLoad.minusRequest(size));
     }
 
     /**
@@ -61,27 +61,27 @@
      * is released.
      */
     public void addCopyTokens(ServerIncarnation incarnation, long tokens) {
-        updateOwnLoad(incarnation, server(incarnation).own.plusCopyTokens(tokens));
+        updateOwnLoad(incarnation, trackedServer(incarnation).ownLoad.plusCopyTokens(tokens));
     }
 
     /** Records how many requests a server reports in total. */
     public void recordServerReport(ServerIncarnation incarnation, int requestCount, long nowMs) {
-        TrackedServer server = server(incarnation);
+        TrackedServer server = trackedServer(incarnation);
         // Both figures still include the answered request.
-        server.reportedOthers = Math.max(0, requestCount - server.own.running());
+        server.reportedOtherRequests = Math.max(0, requestCount - server.ownLoad.running());
         server.reportedAtMs = nowMs;
     }
 
     /** Records the load that a peer reports for a server. */
     public void recordPeerLoad(RouterId peer, ServerIncarnation incarnation, ServerLoad load) {
         checkNotNull(load, "load");
-        peers.computeIfAbsent(peer, p -> new HashMap<>()).put(incarnation, load);
+        peerLoads.computeIfAbsent(peer, p -> new HashMap<>()).put(incarnation, load);
         updatePeerLoad(incarnation);
     }
 
     /** Forgets the load of a peer that is unreachable, as it is no longer known. */
     public void forgetPeer(RouterId peer) {
-        Map<ServerIncarnation, ServerLoad> forgotten = peers.remove(peer);
+        Map<ServerIncarnation, ServerLoad> forgotten = peerLoads.remove(peer);
         if (forgotten != null) {
             forgotten.keySet().forEach(this::updatePeerLoad);
         }
@@ -93,20 +93,20 @@
                 .removeIf(
                         e ->
                                 !listed.contains(e.getKey())
-                                        && e.getValue().own.equals(ServerLoad.none()));
-        peers.values().forEach(p -> p.keySet().retainAll(listed));
+                                        && e.getValue().ownLoad.equals(ServerLoad.none()));
+        peerLoads.values().forEach(p -> p.keySet().retainAll(listed));
     }
 
     /** Returns the load of all known routers at {@code incarnation}. */
     public ServerLoad totalLoad(ServerIncarnation incarnation) {
         TrackedServer server = servers.get(incarnation);
-        return server == null ? ServerLoad.none() : server.own.plus(server.others);
+        return server == null ? ServerLoad.none() : server.ownLoad.plus(server.peerLoad);
     }
 
     /** Returns the load of this router at {@code incarnation}. */
     public ServerLoad ownLoad(ServerIncarnation incarnation) {
         TrackedServer server = servers.get(incarnation);
-        return server == null ? ServerLoad.none() : server.own;
+        return server == null ? ServerLoad.none() : server.ownLoad;
     }
 
     /**
@@ -119,8 +119,8 @@
             return 0;
         }
         boolean fresh = nowMs - server.reportedAtMs <= REPORT_VALID_MS;
-        int others = fresh ? server.reportedOthers : server.others.running();
-        return server.own.running() + others;
+        int others = fresh ? server.reportedOtherRequests : server.peerLoad.running();
+        return server.ownLoad.running() + others;
     }
 
     /** Returns the engines with load of this router. */
@@ -128,7 +128,7 @@
         Set<ServerIncarnation> loaded = new HashSet<>();
         servers.forEach(
                 (incarnation, server) -> {
-                    if (server.own.memoryTokens() > 0) {
+                    if (server.ownLoad.memoryTokens() > 0) {
                         loaded.add(incarnation);
                     }
                 });
@@ -137,31 +137,31 @@
 
     /** Returns the engines whose load of this router has changed since the last call. */
     public Set<ServerIncarnation> drainChanged() {
-        Set<ServerIncarnation> drained = Set.copyOf(changed);
-        changed.clear();
+        Set<ServerIncarnation> drained = Set.copyOf(changedEngines);
+        changedEngines.clear();
         return drained;
     }
 
     private void updateOwnLoad(ServerIncarnation incarnation, ServerLoad load) {
-        TrackedServer server = server(incarnation);
-        boolean isAnnounced =
-                !load.equals(server.own)
-                        && (load.memoryTokens() > 0 || server.own.memoryTokens() > 0);
-        server.own = load;
-        if (isAnnounced) {
-            changed.add(incarnation);
+        TrackedServer server = trackedServer(incarnation);
+        boolean hasEngineLoadChanged =
+                !load.equals(server.ownLoad)
+                        && (load.memoryTokens() > 0 || server.ownLoad.memoryTokens() > 0);
+        server.ownLoad = load;
+        if (hasEngineLoadChanged) {
+            changedEngines.add(incarnation);
         }
     }
 
     private void updatePeerLoad(ServerIncarnation incarnation) {
         ServerLoad sum = ServerLoad.none();
-        for (Map<ServerIncarnation, ServerLoad> peer : peers.values()) {
+        for (Map<ServerIncarnation, ServerLoad> peer : peerLoads.values()) {
             sum = sum.plus(peer.getOrDefault(incarnation, ServerLoad.none()));
         }
-        server(incarnation).others = sum;
+        trackedServer(incarnation).peerLoad = sum;
     }
 
-    private TrackedServer server(ServerIncarnation incarnation) {
+    private TrackedServer trackedServer(ServerIncarnation incarnation) {
         return servers.computeIfAbsent(incarnation, i -> new TrackedServer());
     }
 }
--- a/masticweir/src/main/java/org/masticweir/forward/RequestStateMachine.java
+++ b/masticweir/src/main/java/org/masticweir/forward/RequestStateMachine.java
@@ -48,10 +48,10 @@
     private final ServerHealth health;
     private final RetryLimiter retryLimiter;
     private final ContentPolicy contentPolicy;
-    private final RequestWait wait;
+    private final RequestWait requestWait;
     private final RandomGenerator random;
 
-    private final Set<ServerIncarnation> tried = new HashSet<>();
+    private final Set<ServerIncarnation> triedServers = new HashSet<>();
     private final HeldPermits permits = new HeldPermits();
     private int sendCount;
     private int transmissions;
@@ -86,7 +86,7 @@
         this.health = checkNotNull(health, "health");
         this.retryLimiter = checkNotNull(retryLimiter, "retryLimiter");
         this.contentPolicy = checkNotNull(contentPolicy, "contentPolicy");
-        wait = new RequestWait(request, waitQueue);
+        requestWait = new RequestWait(request, waitQueue);
         this.random = checkNotNull(random, "random");
         lastEventId = request.callerLastEventId();
     }
@@ -142,18 +142,18 @@
                 return new Step.QueryPromptCaches(engines);
             }
         }
-        Optional<BackendServer> permitted = permits.permittedServer(nowMs);
-        Optional<BackendServer> copy = usableCopyHolder(nowMs);
+        Optional<BackendServer> permittedServer = permits.permittedServer(nowMs);
+        Optional<BackendServer> usableCopyHolder = usableCopyHolder(nowMs);
         Optional<BackendServer> server =
-                permitted
+                permittedServer
                         .filter(s -> canAccept(s, nowMs))
-                        .or(() -> copy)
+                        .or(() -> usableCopyHolder)
                         .or(() -> usableCachingEngine(nowMs))
                         .or(() -> selectServer(nowMs));
-        if (server.isEmpty() || wait.mustWait(sendCount, nowMs)) {
+        if (server.isEmpty() || requestWait.mustWait(sendCount, nowMs)) {
             return waitOrEnd(nowMs);
         }
-        if (selector.needsPermit(server.get()) && !permitted.equals(server)) {
+        if (selector.needsPermit(server.get()) && !permittedServer.equals(server)) {
             return new Step.AcquirePermit(server.get(), urgency());
         }
         retryCountedMs = OptionalLong.empty();
@@ -165,7 +165,7 @@
             }
             retryCountedMs = OptionalLong.of(nowMs);
         }
-        return send(server.get(), copy.equals(server), nowMs);
+        return send(server.get(), usableCopyHolder.equals(server), nowMs);
     }
 
     /**
@@ -318,7 +318,7 @@
     /** Handles the answer of another server at the address: the selected server is gone. */
     public Step onWrongServer(BackendServer server, long nowMs) {
         sendCount--;
-        health.recordGone(server);
+        health.recordServerGone(server);
         return onRefused(nowMs);
     }
 
@@ -335,11 +335,11 @@
 
     /** Releases the resources of the request; no other method may be called afterwards. */
     public void close() {
-        wait.close();
+        requestWait.close();
     }
 
-    private Step send(BackendServer server, boolean fromCopy, long nowMs) {
-        wait.close();
+    private Step send(BackendServer server, boolean resumesFromCopy, long nowMs) {
+        requestWait.close();
         permits.consume();
         if (!isRequestCounted) {
             isRequestCounted = true;
@@ -348,7 +348,7 @@
         sendCount++;
         transmissions++;
         isInFlight = true;
-        tried.add(server.incarnation());
+        triedServers.add(server.incarnation());
         copyHolder =
                 request.needsCopy()
                         ? selector.selectCopyHolder(
@@ -358,7 +358,7 @@
                                 request.engine().get(),
                                 nowMs)
                         : Optional.empty();
-        return new Step.Send(server, copyHolder, fromCopy, lastEventId);
+        return new Step.Send(server, copyHolder, resumesFromCopy, lastEventId);
     }
 
     /** Returns the copy holder if it can be used. A run has no copy before its first event. */
@@ -367,8 +367,8 @@
             return Optional.empty();
         }
         return copyHolder
-                .filter(h -> !tried.contains(h.incarnation()) && !health.isDown(h, nowMs))
-                .filter(h -> selector.blockedForMs(h, nowMs) == 0)
+                .filter(h -> !triedServers.contains(h.incarnation()) && !health.isDown(h, nowMs))
+                .filter(h -> selector.remainingBlockMs(h, nowMs) == 0)
                 .flatMap(this::findListed);
     }
 
@@ -380,7 +380,8 @@
     }
 
     private Optional<BackendServer> usableCachingEngine(long nowMs) {
-        return cachingEngine.filter(e -> !tried.contains(e.incarnation()) && canAccept(e, nowMs));
+        return cachingEngine.filter(
+                e -> !triedServers.contains(e.incarnation()) && canAccept(e, nowMs));
     }
 
     private boolean canAccept(BackendServer server, long nowMs) {
@@ -394,12 +395,12 @@
      * moment under one stream, and the stream waits until its deadline although both engines run.
      */
     private Optional<BackendServer> selectServer(long nowMs) {
-        Optional<BackendServer> untried = selectExcept(tried, nowMs);
+        Optional<BackendServer> untried = selectExcluding(triedServers, nowMs);
         boolean isResumable = request.route().repeatability() == Repeatability.RESUMABLE;
-        return untried.isPresent() || !isResumable ? untried : selectExcept(Set.of(), nowMs);
+        return untried.isPresent() || !isResumable ? untried : selectExcluding(Set.of(), nowMs);
     }
 
-    private Optional<BackendServer> selectExcept(Set<ServerIncarnation> excluded, long nowMs) {
+    private Optional<BackendServer> selectExcluding(Set<ServerIncarnation> excluded, long nowMs) {
         return mustUseLeastLoaded
                 ? selector.selectLeastLoaded(
                         servers.get(), request.size(), request.engine(), excluded, nowMs)
@@ -421,13 +422,13 @@
         return new Step.End(
                 notRun ? ErrorCode.QUARANTINED : ErrorCode.ENGINE_LOST,
                 verdict(),
-                notRun ? contentPolicy.holdLeftMs(nowMs) : OptionalLong.empty(),
+                notRun ? contentPolicy.remainingQuarantineMs(nowMs) : OptionalLong.empty(),
                 "servers ended under this content");
     }
 
     /** Waits for the trial of the content, but no longer than a request waits for a free server. */
     private Step waitForTrial(long nowMs) {
-        return hasEvent || !wait.hasTimedOut(nowMs)
+        return hasEvent || !requestWait.hasTimedOut(nowMs)
                 ? new Step.Wait(WAIT_MS)
                 : end(
                         ErrorCode.OVERLOADED,
@@ -453,13 +454,13 @@
                     OptionalLong.empty(),
                     "request exceeds the memory of any engine");
         }
-        OptionalLong waitMs = selector.unblockedInMs(servers.get(), tried, nowMs);
-        if (waitMs.isPresent() && wait.hasTimedOut(nowMs + waitMs.getAsLong())) {
+        OptionalLong waitMs = selector.timeUntilUnblockedMs(servers.get(), triedServers, nowMs);
+        if (waitMs.isPresent() && requestWait.hasTimedOut(nowMs + waitMs.getAsLong())) {
             return end(
                     ErrorCode.OVERLOADED, "servers take no more requests now", waitMs.getAsLong());
         }
         int running = selector.ownRequestCount(servers.get());
-        Optional<String> refusal = wait.enterQueueOrRefuse(sendCount, running, nowMs);
+        Optional<String> refusal = requestWait.enterQueueOrRefuse(sendCount, running, nowMs);
         return refusal.isPresent()
                 ? end(ErrorCode.NO_ENGINE, refusal.get())
                 : new Step.Wait(WAIT_MS);
@@ -473,8 +474,8 @@
      */
     private Step waitForRetryBudget(long nowMs) {
         boolean isResumable = request.route().repeatability() == Repeatability.RESUMABLE;
-        boolean inTime = nowMs - request.receivedMs() < request.route().goalMs();
-        return isResumable && (hasEvent || inTime)
+        boolean isInTime = nowMs - request.receivedMs() < request.route().goalMs();
+        return isResumable && (hasEvent || isInTime)
                 ? new Step.Wait(RETRY_BUDGET_WAIT_MS)
                 : end(ErrorCode.OVERLOADED, "no retry budget");
     }
--- a/masticweir/src/main/java/org/masticweir/forward/RequestWait.java
+++ b/masticweir/src/main/java/org/masticweir/forward/RequestWait.java
@@ -24,7 +24,7 @@
 
     private final RequestParameters request;
     private final WaitQueue queue;
-    private Optional<WaitQueue.Entry> entry = Optional.empty();
+    private Optional<WaitQueue.Entry> queueEntry = Optional.empty();
 
     RequestWait(RequestParameters request, WaitQueue queue) {
         this.request = checkNotNull(request, "request");
@@ -34,30 +34,32 @@
     /**
      * Returns whether other requests must be served first, even if a server could accept this one.
      */
-    boolean mustWait(int sends, long nowMs) {
-        if (!usesQueue(sends)) {
+    boolean mustWait(int sendCount, long nowMs) {
+        if (!usesQueue(sendCount)) {
             return false;
         }
-        return entry.isPresent() ? !queue.isFirst(entry.get(), nowMs) : countAhead(nowMs) > 0;
+        return queueEntry.isPresent()
+                ? !queue.isFirst(queueEntry.get(), nowMs)
+                : countAhead(nowMs) > 0;
     }
 
     /**
      * Adds the request to the queue if it belongs there, or returns why waiting can't help.
      *
-     * @param running requests of this router that run at the servers of the service
+     * @param runningRequests requests of this router that run at the servers of the service
      */
-    Optional<String> enterQueueOrRefuse(int sends, int running, long nowMs) {
+    Optional<String> enterQueueOrRefuse(int sendCount, int runningRequests, long nowMs) {
         if (hasTimedOut(nowMs)) {
             return Optional.of("no server is free");
         }
-        if (usesQueue(sends) && entry.isEmpty()) {
+        if (usesQueue(sendCount) && queueEntry.isEmpty()) {
             // A run lasts about as long as the goal of its first event, or longer.
             long runMs = request.route().goalMs();
-            if (countAhead(nowMs) >= WaitQueue.capacity(running, maxWaitMs(), runMs)) {
+            if (countAhead(nowMs) >= WaitQueue.capacity(runningRequests, maxWaitMs(), runMs)) {
                 return Optional.of("too many wait");
             }
             long expiresMs = request.receivedMs() + maxWaitMs();
-            entry =
+            queueEntry =
                     Optional.of(
                             queue.add(request.service(), request.route().priority(), expiresMs));
         }
@@ -72,8 +74,8 @@
     /** Leaves the queue. */
     @Override
     public void close() {
-        entry.ifPresent(queue::remove);
-        entry = Optional.empty();
+        queueEntry.ifPresent(queue::remove);
+        queueEntry = Optional.empty();
     }
 
     private int countAhead(long nowMs) {
@@ -85,7 +87,7 @@
                 / (request.engine().isPresent() ? ENGINE_GOAL_DIVISOR : PLAIN_GOAL_DIVISOR);
     }
 
-    private boolean usesQueue(int sends) {
-        return request.engine().isPresent() && sends == 0;
+    private boolean usesQueue(int sendCount) {
+        return request.engine().isPresent() && sendCount == 0;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/forward/ServerHealth.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServerHealth.java
@@ -50,7 +50,7 @@
 
     private static final int MAX_REFUSAL_DOUBLINGS = 4;
 
-    private final Map<ServerIncarnation, ServerState> states = new HashMap<>();
+    private final Map<ServerIncarnation, ServerState> serverStates = new HashMap<>();
     private final Map<ServiceInDomain, Suspicion> suspicions = new HashMap<>();
     private Map<ServerIncarnation, Boolean> pendingReports = new LinkedHashMap<>();
 
@@ -61,23 +61,23 @@
         }
     }
 
-    private record Failure(ServerIncarnation server, long atMs) {}
+    private record Failure(ServerIncarnation server, long failedMs) {}
 
     /** Suspicion that all servers of a service in a domain are lost. */
     private static final class Suspicion {
-        private final Deque<Failure> recent = new ArrayDeque<>();
-        private long atMs = Long.MIN_VALUE / 2;
+        private final Deque<Failure> recentFailures = new ArrayDeque<>();
+        private long suspectedMs = Long.MIN_VALUE / 2;
     }
 
     /** Observed state of one server. */
     private static final class ServerState {
-        private int failures;
-        private long failedMs = Long.MIN_VALUE / 2;
+        private int failureCount;
+        private long lastFailureMs = Long.MIN_VALUE / 2;
         private long downUntilMs = Long.MIN_VALUE;
-        private int refusals;
+        private int refusalCount;
         private long deprioritizedUntilMs = Long.MIN_VALUE;
-        private long answeredMs = Long.MIN_VALUE / 2;
-        private long listedMs = Long.MIN_VALUE / 2;
+        private long lastAnswerMs = Long.MIN_VALUE / 2;
+        private long firstListedMs = Long.MIN_VALUE / 2;
         private boolean isGone;
     }
 
@@ -97,16 +97,16 @@
     }
 
     /** Records that the incarnation of a server has ended. */
-    public void recordGone(BackendServer server) {
+    public void recordServerGone(BackendServer server) {
         pendingReports.put(server.incarnation(), true);
-        state(server.incarnation()).isGone = true;
+        serverState(server.incarnation()).isGone = true;
     }
 
     /** Records a failure that a peer reports. */
-    public void recordPeerReport(BackendServer server, boolean gone, long nowMs) {
+    public void recordPeerReport(BackendServer server, boolean isGone, long nowMs) {
         checkNotNull(server, "server");
-        if (gone) {
-            state(server.incarnation()).isGone = true;
+        if (isGone) {
+            serverState(server.incarnation()).isGone = true;
         } else {
             addFailure(server, nowMs);
         }
@@ -119,11 +119,12 @@
      * it more requests than any other server.
      */
     public long recordRefusal(ServerIncarnation incarnation, long nowMs) {
-        ServerState state = state(incarnation);
+        ServerState state = serverState(incarnation);
         clearFailures(state, nowMs);
-        long durationMs = FIRST_DEPRIORITIZED_MS << Math.min(state.refusals, MAX_REFUSAL_DOUBLINGS);
+        long durationMs =
+                FIRST_DEPRIORITIZED_MS << Math.min(state.refusalCount, MAX_REFUSAL_DOUBLINGS);
         if (nowMs >= state.deprioritizedUntilMs) {
-            state.refusals++;
+            state.refusalCount++;
             state.deprioritizedUntilMs = nowMs + durationMs;
         }
         return state.deprioritizedUntilMs - nowMs;
@@ -131,47 +132,47 @@
 
     /** Records that a server answered or continued an answer. */
     public void recordAnswer(ServerIncarnation incarnation, long nowMs) {
-        ServerState state = state(incarnation);
+        ServerState state = serverState(incarnation);
         clearFailures(state, nowMs);
-        state.refusals = 0;
+        state.refusalCount = 0;
         state.deprioritizedUntilMs = Long.MIN_VALUE;
     }
 
     private static void clearFailures(ServerState state, long nowMs) {
-        state.failures = 0;
-        state.failedMs = Long.MIN_VALUE / 2;
+        state.failureCount = 0;
+        state.lastFailureMs = Long.MIN_VALUE / 2;
         state.downUntilMs = Long.MIN_VALUE;
-        state.answeredMs = nowMs;
+        state.lastAnswerMs = nowMs;
     }
 
     /** Returns whether a server must not be sent any request now. */
     public boolean isDown(BackendServer server, long nowMs) {
-        ServerState state = states.get(server.incarnation());
+        ServerState state = serverStates.get(server.incarnation());
         if (state != null && (state.isGone || nowMs < state.downUntilMs)) {
             return true;
         }
         Suspicion suspicion = suspicions.get(ServiceInDomain.of(server));
         return suspicion != null
-                && nowMs - suspicion.atMs < DOMAIN_DOWN_MS
+                && nowMs - suspicion.suspectedMs < DOMAIN_DOWN_MS
                 && isSuspect(state, suspicion);
     }
 
     /** Returns whether other servers are preferred for requests. */
     public boolean isDeprioritized(BackendServer server, long nowMs) {
-        ServerState state = states.get(server.incarnation());
+        ServerState state = serverStates.get(server.incarnation());
         return (state != null && nowMs < state.deprioritizedUntilMs)
                 || hasRecentlyFailed(server, nowMs);
     }
 
     /** Returns whether a server may have ended and should not hold copies. */
     public boolean hasRecentlyFailed(BackendServer server, long nowMs) {
-        ServerState state = states.get(server.incarnation());
-        if (state != null && (state.isGone || nowMs - state.failedMs < RECENT_FAILURE_MS)) {
+        ServerState state = serverStates.get(server.incarnation());
+        if (state != null && (state.isGone || nowMs - state.lastFailureMs < RECENT_FAILURE_MS)) {
             return true;
         }
         Suspicion suspicion = suspicions.get(ServiceInDomain.of(server));
         return suspicion != null
-                && nowMs - suspicion.atMs < RECENT_FAILURE_MS
+                && nowMs - suspicion.suspectedMs < RECENT_FAILURE_MS
                 && isSuspect(state, suspicion);
     }
 
@@ -187,36 +188,36 @@
 
     /** Adds incarnations that are new in the list and forgets those that are not listed. */
     public void updateListed(Set<ServerIncarnation> listed, long nowMs) {
-        states.keySet().retainAll(listed);
+        serverStates.keySet().retainAll(listed);
         for (ServerIncarnation incarnation : listed) {
-            states.computeIfAbsent(
+            serverStates.computeIfAbsent(
                     incarnation,
                     i -> {
                         ServerState state = new ServerState();
-                        state.listedMs = nowMs;
+                        state.firstListedMs = nowMs;
                         return state;
                     });
         }
     }
 
     private void addFailure(BackendServer server, long nowMs) {
-        ServerState state = state(server.incarnation());
+        ServerState state = serverState(server.incarnation());
         if (nowMs >= state.downUntilMs) {
-            int doublings = Math.min(state.failures, MAX_DOUBLINGS);
+            int doublings = Math.min(state.failureCount, MAX_DOUBLINGS);
             state.downUntilMs = nowMs + Math.min(MAX_DOWN_MS, FIRST_DOWN_MS << doublings);
-            state.failures++;
+            state.failureCount++;
         }
-        state.failedMs = nowMs;
+        state.lastFailureMs = nowMs;
         Suspicion suspicion =
                 suspicions.computeIfAbsent(ServiceInDomain.of(server), p -> new Suspicion());
-        suspicion.recent.removeIf(
+        suspicion.recentFailures.removeIf(
                 f ->
-                        nowMs - f.atMs() > COMMON_CAUSE_WINDOW_MS
+                        nowMs - f.failedMs() > COMMON_CAUSE_WINDOW_MS
                                 || f.server().equals(server.incarnation()));
-        if (!suspicion.recent.isEmpty()) {
-            suspicion.atMs = nowMs;
+        if (!suspicion.recentFailures.isEmpty()) {
+            suspicion.suspectedMs = nowMs;
         }
-        suspicion.recent.add(new Failure(server.incarnation(), nowMs));
+        suspicion.recentFailures.add(new Failure(server.incarnation(), nowMs));
     }
 
     /**
@@ -225,11 +226,11 @@
      */
     private static boolean isSuspect(ServerState state, Suspicion suspicion) {
         return state != null
-                && state.answeredMs < suspicion.atMs
-                && state.listedMs < suspicion.atMs;
+                && state.lastAnswerMs < suspicion.suspectedMs
+                && state.firstListedMs < suspicion.suspectedMs;
     }
 
-    private ServerState state(ServerIncarnation incarnation) {
-        return states.computeIfAbsent(incarnation, i -> new ServerState());
+    private ServerState serverState(ServerIncarnation incarnation) {
+        return serverStates.computeIfAbsent(incarnation, i -> new ServerState());
     }
 }
--- a/masticweir/src/main/java/org/masticweir/forward/ServerSelector.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServerSelector.java
@@ -125,9 +125,10 @@
             ImmutableList<BackendServer> servers,
             RequestSize size,
             Optional<EngineSpec> engine,
-            Set<ServerIncarnation> tried,
+            Set<ServerIncarnation> excludedServers,
             long nowMs) {
-        return selectLowestRank(servers, size, engine, tried, nowMs, s -> rank(s, engine, nowMs));
+        return selectLowestRank(
+                servers, size, engine, excludedServers, nowMs, s -> rank(s, engine, nowMs));
     }
 
     /**
@@ -140,26 +141,27 @@
             ImmutableList<BackendServer> servers,
             RequestSize size,
             Optional<EngineSpec> engine,
-            Set<ServerIncarnation> tried,
+            Set<ServerIncarnation> excludedServers,
             long nowMs) {
         return selectLowestRank(
-                servers, size, engine, tried, nowMs, s -> requestCount(s, engine, nowMs));
+                servers, size, engine, excludedServers, nowMs, s -> requestCount(s, engine, nowMs));
     }
 
     private Optional<BackendServer> selectLowestRank(
             ImmutableList<BackendServer> servers,
             RequestSize size,
             Optional<EngineSpec> engine,
-            Set<ServerIncarnation> tried,
+            Set<ServerIncarnation> excludedServers,
             long nowMs,
             ToDoubleFunction<BackendServer> rank) {
         Ranking ranking = new Ranking();
         for (BackendServer server : servers) {
-            if (!tried.contains(server.incarnation()) && canAccept(server, size, engine, nowMs)) {
+            if (!excludedServers.contains(server.incarnation())
+                    && canAccept(server, size, engine, nowMs)) {
                 ranking.offer(server, rank.applyAsDouble(server));
             }
         }
-        return ranking.best();
+        return ranking.bestServer();
     }
 
     private double requestCount(BackendServer server, Optional<EngineSpec> engine, long nowMs) {
@@ -190,18 +192,18 @@
     boolean canAccept(
             BackendServer server, RequestSize size, Optional<EngineSpec> engine, long nowMs) {
         return !health.isDown(server, nowMs)
-                && blockedForMs(server, nowMs) == 0
-                && fits(server, size, engine);
+                && remainingBlockMs(server, nowMs) == 0
+                && hasCapacity(server, size, engine);
     }
 
     /**
      * Returns how long a server accepts no requests of this router, in ms; 0 if it accepts them
      * now.
      */
-    long blockedForMs(BackendServer server, long nowMs) {
+    long remainingBlockMs(BackendServer server, long nowMs) {
         return Math.max(
                 notices.remainingPauseMs(server.incarnation(), nowMs),
-                limits.blockedForMs(server.incarnation(), nowMs));
+                limits.remainingBlockMs(server.incarnation(), nowMs));
     }
 
     /** Returns whether a server is leaving, according to its entry or one of its answers. */
@@ -223,14 +225,14 @@
      * Returns the time until the first of {@code servers} may accept a request, in ms, if all
      * untried servers that are not leaving are blocked; empty if one of them is not blocked.
      */
-    OptionalLong unblockedInMs(
-            ImmutableList<BackendServer> servers, Set<ServerIncarnation> tried, long nowMs) {
+    OptionalLong timeUntilUnblockedMs(
+            ImmutableList<BackendServer> servers, Set<ServerIncarnation> triedServers, long nowMs) {
         long soonestMs = Long.MAX_VALUE;
         for (BackendServer server : servers) {
-            if (isLeaving(server) || tried.contains(server.incarnation())) {
+            if (isLeaving(server) || triedServers.contains(server.incarnation())) {
                 continue;
             }
-            long blockedMs = blockedForMs(server, nowMs);
+            long blockedMs = remainingBlockMs(server, nowMs);
             if (blockedMs == 0) {
                 return OptionalLong.empty();
             }
@@ -250,7 +252,7 @@
     }
 
     /**
-     * Returns the server that should hold a copy of a run at {@code runner}.
+     * Returns the server that should hold a copy of a run at {@code runningEngine}.
      *
      * <p>A failure domain loses its engines together, so a copy in the domain of the run would be
      * lost with it. A domain that is cut off loses its runs in other domains, and can resume them
@@ -258,19 +260,19 @@
      */
     Optional<BackendServer> selectCopyHolder(
             ImmutableList<BackendServer> servers,
-            BackendServer runner,
+            BackendServer runningEngine,
             RequestSize size,
             EngineSpec engine,
             long nowMs) {
-        boolean isRunnerInOtherDomain = !runner.domain().equals(ownDomain);
+        boolean isRunnerInOtherDomain = !runningEngine.domain().equals(ownDomain);
         Ranking ranking = new Ranking();
         for (BackendServer server : servers) {
-            boolean isOutsideRunnerDomain = !server.domain().equals(runner.domain());
+            boolean isOutsideRunnerDomain = !server.domain().equals(runningEngine.domain());
             if (isOutsideRunnerDomain
                     && notices.remainingPauseMs(server.incarnation(), nowMs) == 0
                     && !health.isDown(server, nowMs)
                     && !health.hasRecentlyFailed(server, nowMs)
-                    && fits(server, size, Optional.of(engine))) {
+                    && hasCapacity(server, size, Optional.of(engine))) {
                 boolean areBothInOtherDomains =
                         isRunnerInOtherDomain && !server.domain().equals(ownDomain);
                 ranking.offer(
@@ -279,10 +281,11 @@
                                 + (areBothInOtherDomains ? OTHER_DOMAIN_MEMORY_FRACTION : 0));
             }
         }
-        return ranking.best();
+        return ranking.bestServer();
     }
 
-    private boolean fits(BackendServer server, RequestSize size, Optional<EngineSpec> engine) {
+    private boolean hasCapacity(
+            BackendServer server, RequestSize size, Optional<EngineSpec> engine) {
         if (isLeaving(server)) {
             return false;
         }
@@ -325,13 +328,13 @@
 
     /** Keeps the server with the lowest rank; servers of equal rank are equally likely. */
     private final class Ranking {
-        private Optional<BackendServer> best = Optional.empty();
+        private Optional<BackendServer> bestServer = Optional.empty();
         private double bestRank;
         private int tieCount;
 
         void offer(BackendServer server, double rank) {
-            if (best.isEmpty() || rank < bestRank - RANK_TOLERANCE) {
-                best = Optional.of(server);
+            if (bestServer.isEmpty() || rank < bestRank - RANK_TOLERANCE) {
+                bestServer = Optional.of(server);
                 bestRank = rank;
                 tieCount = 1;
                 return;
@@ -339,13 +342,13 @@
             if (rank <= bestRank + RANK_TOLERANCE) {
                 tieCount++;
                 if (random.nextInt(tieCount) == 0) {
-                    best = Optional.of(server);
+                    bestServer = Optional.of(server);
                 }
             }
         }
 
-        Optional<BackendServer> best() {
-            return best;
+        Optional<BackendServer> bestServer() {
+            return bestServer;
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/forward/SilenceTimeouts.java
+++ b/masticweir/src/main/java/org/masticweir/forward/SilenceTimeouts.java
@@ -46,7 +46,7 @@
     private static final int MIN_TIMEOUT_GOAL_DIVISOR = 4;
 
     private double msPerToken;
-    private int observations;
+    private int observationCount;
 
     private SilenceTimeouts() {}
 
@@ -64,10 +64,10 @@
         }
         double observed = Math.max((double) ms / tokens, msPerToken * MIN_OBSERVED_FRACTION);
         msPerToken =
-                observations == 0
+                observationCount == 0
                         ? observed
                         : msPerToken + SMOOTHING_WEIGHT * (observed - msPerToken);
-        observations++;
+        observationCount++;
     }
 
     /**
@@ -92,7 +92,7 @@
      * @param goalMs time goal of the first event
      */
     public long firstEventTimeoutMs(long tokens, long goalMs) {
-        if (observations < MIN_OBSERVATIONS) {
+        if (observationCount < MIN_OBSERVATIONS) {
             return goalMs / 2;
         }
         long expectedMs =
--- a/masticweir/src/main/java/org/masticweir/forward/SilenceTimer.java
+++ b/masticweir/src/main/java/org/masticweir/forward/SilenceTimer.java
@@ -18,13 +18,13 @@
     static final long MAX_REPORT_AGE_MS = 600;
 
     private final BackendServer server;
-    private final boolean fromCopy;
+    private final boolean resumesFromCopy;
     private final long gapGoalMs;
     private final LoadTracker loads;
     private final SilenceTimeouts timeouts;
     private final long sentMs;
     private final long prefillTokens;
-    private boolean hasStarted;
+    private boolean hasFirstEvent;
     private long lastActivityMs;
     private long timeoutMs;
 
@@ -35,7 +35,7 @@
             SilenceTimeouts timeouts,
             long nowMs) {
         server = send.server();
-        fromCopy = send.fromCopy();
+        resumesFromCopy = send.fromCopy();
         gapGoalMs = request.route().gapGoalMs();
         this.loads = checkNotNull(loads, "loads");
         this.timeouts = checkNotNull(timeouts, "timeouts");
@@ -43,7 +43,7 @@
         lastActivityMs = nowMs;
         prefillTokens = loads.totalLoad(server.incarnation()).prefillTokens();
         timeoutMs =
-                fromCopy
+                resumesFromCopy
                         ? nextEventTimeoutMs()
                         : timeouts.firstEventTimeoutMs(prefillTokens, request.route().goalMs());
     }
@@ -60,9 +60,9 @@
 
     /** Records an event and returns whether it was the first one. */
     public boolean recordEvent(long nowMs) {
-        boolean isFirst = !hasStarted;
-        hasStarted = true;
-        if (isFirst && !fromCopy) {
+        boolean isFirst = !hasFirstEvent;
+        hasFirstEvent = true;
+        if (isFirst && !resumesFromCopy) {
             timeouts.recordPrefill(prefillTokens, nowMs - sentMs);
         }
         lastActivityMs = nowMs;
@@ -111,7 +111,7 @@
      * just be in a prefill; resuming from a copy needs next to no prefill.
      */
     public boolean isLossCertain() {
-        return hasStarted || fromCopy;
+        return hasFirstEvent || resumesFromCopy;
     }
 
     public BackendServer server() {
@@ -122,7 +122,7 @@
         return sentMs;
     }
 
-    public long silentMs(long nowMs) {
+    public long silenceMs(long nowMs) {
         return nowMs - lastActivityMs;
     }
 
--- a/masticweir/src/main/java/org/masticweir/forward/StreamDurationEstimator.java
+++ b/masticweir/src/main/java/org/masticweir/forward/StreamDurationEstimator.java
@@ -34,7 +34,7 @@
      * @param firstMs time to its first event
      * @param restMs time from its first event to its end
      */
-    public void observe(RequestSize size, long firstMs, long restMs) {
+    public void recordStream(RequestSize size, long firstMs, long restMs) {
         checkNotNull(size, "size");
         if (size.output() == 0) {
             return;
@@ -49,7 +49,7 @@
     /**
      * Returns the time within which nearly all streams of {@code size} end; empty while unknown.
      */
-    public OptionalLong expectedMs(RequestSize size) {
+    public OptionalLong expectedDurationMs(RequestSize size) {
         return hasObservation
                 ? OptionalLong.of(Math.round(MARGIN * (firstEventMs + msPerToken * size.output())))
                 : OptionalLong.empty();
--- a/masticweir/src/main/java/org/masticweir/forward/WaitQueue.java
+++ b/masticweir/src/main/java/org/masticweir/forward/WaitQueue.java
@@ -79,12 +79,12 @@
     /**
      * Returns how many requests may wait: as many as are expected to leave the engines in time.
      *
-     * @param running running requests of this router
+     * @param runningRequests running requests of this router
      * @param maxWaitMs longest wait of a request
      * @param runMs duration of a run
      */
-    static int capacity(int running, long maxWaitMs, long runMs) {
-        long expectedDepartures = running * maxWaitMs / Math.max(1, runMs);
+    static int capacity(int runningRequests, long maxWaitMs, long runMs) {
+        long expectedDepartures = runningRequests * maxWaitMs / Math.max(1, runMs);
         return (int) Math.max(MIN_CAPACITY, expectedDepartures);
     }
 
--- a/masticweir/src/main/java/org/masticweir/permits/IssuerSelector.java
+++ b/masticweir/src/main/java/org/masticweir/permits/IssuerSelector.java
@@ -28,9 +28,9 @@
     private static final int MAX_CACHED_KEYS = 4_096;
 
     private final RouterId self;
-    private final Set<RouterId> linked = new HashSet<>();
+    private final Set<RouterId> linkedRouters = new HashSet<>();
     private final Map<RouterId, Long> lastSeenMs = new HashMap<>();
-    private final Map<PermitKey, RouterId> issuers = new HashMap<>();
+    private final Map<PermitKey, RouterId> cachedIssuers = new HashMap<>();
     private long linksChangedMs;
 
     IssuerSelector(RouterId self, long nowMs) {
@@ -45,22 +45,22 @@
         }
     }
 
-    synchronized void linkUp(RouterId router, long nowMs) {
+    synchronized void onLinkUp(RouterId router, long nowMs) {
         addRouter(router, nowMs);
-        if (linked.add(router)) {
+        if (linkedRouters.add(router)) {
             onLinksChanged(nowMs);
         }
     }
 
-    synchronized void linkDown(RouterId router, long nowMs) {
+    synchronized void onLinkDown(RouterId router, long nowMs) {
         addRouter(router, nowMs);
-        if (linked.remove(router)) {
+        if (linkedRouters.remove(router)) {
             onLinksChanged(nowMs);
         }
     }
 
     private void onLinksChanged(long nowMs) {
-        issuers.clear();
+        cachedIssuers.clear();
         linksChangedMs = nowMs;
     }
 
@@ -71,14 +71,14 @@
 
     /** Returns the router that issues the permits of {@code key}; may be this router. */
     synchronized RouterId issuer(PermitKey key) {
-        if (issuers.size() >= MAX_CACHED_KEYS) {
-            issuers.clear();
+        if (cachedIssuers.size() >= MAX_CACHED_KEYS) {
+            cachedIssuers.clear();
         }
-        return issuers.computeIfAbsent(key, this::select);
+        return cachedIssuers.computeIfAbsent(key, this::select);
     }
 
     private RouterId select(PermitKey key) {
-        Set<RouterId> candidates = new HashSet<>(linked);
+        Set<RouterId> candidates = new HashSet<>(linkedRouters);
         candidates.add(self);
         return Rendezvous.first(key.value(), candidates, 1).get(0);
     }
@@ -92,9 +92,9 @@
                 .entrySet()
                 .removeIf(
                         e ->
-                                !linked.contains(e.getKey())
+                                !linkedRouters.contains(e.getKey())
                                         && nowMs - e.getValue() > ROUTER_EXPIRY_MS);
-        double reachable = linked.size() + 1;
+        double reachable = linkedRouters.size() + 1;
         return reachable / (lastSeenMs.size() + 1);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/permits/PermitIssuer.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitIssuer.java
@@ -53,7 +53,7 @@
         private final Map<RouterId, Long> requesters = new LinkedHashMap<>(16, 0.75f, true);
 
         /** The time until which a token is reserved for denied requests, by their urgency. */
-        private final NavigableMap<Integer, Long> waitingUntilMs = new TreeMap<>();
+        private final NavigableMap<Integer, Long> reservedUntilMs = new TreeMap<>();
 
         private long lastRequestMs;
 
@@ -68,7 +68,7 @@
          */
         void discardTokensBefore(long sinceMs) {
             if (lastRequestMs < sinceMs) {
-                bucket.emptyAt(sinceMs);
+                bucket.discardTokens(sinceMs);
             }
         }
 
@@ -83,9 +83,9 @@
 
         /** Returns the number of tokens required to grant a request. */
         double requiredTokens(int urgency, SharedRate rate, long nowMs) {
-            boolean hasMoreUrgentWaiting =
-                    waitingUntilMs.headMap(urgency).values().stream().anyMatch(t -> t > nowMs);
-            return hasMoreUrgentWaiting ? Math.min(TOKENS_TO_LEAVE_ONE, rate.burst()) : 1;
+            boolean isMoreUrgentRequestWaiting =
+                    reservedUntilMs.headMap(urgency).values().stream().anyMatch(t -> t > nowMs);
+            return isMoreUrgentRequestWaiting ? Math.min(TOKENS_TO_LEAVE_ONE, rate.burst()) : 1;
         }
 
         /**
@@ -103,38 +103,38 @@
      *
      * @param urgency 0 is the most urgent
      * @param rate the fraction of the shared rate that this router may grant
-     * @param sinceMs the latest time at which the issuer may have changed: tokens from before that
-     *     time are not granted, as the previous issuer may have granted them
+     * @param issuerSinceMs the latest time at which the issuer may have changed: tokens from before
+     *     that time are not granted, as the previous issuer may have granted them
      */
-    synchronized PermitDecision request(
+    synchronized PermitDecision decide(
             RouterId requester,
             PermitKey key,
             int urgency,
             SharedRate rate,
-            long sinceMs,
+            long issuerSinceMs,
             long nowMs) {
-        RateState state = updatedState(key, rate, sinceMs, nowMs);
+        RateState state = updatedState(key, rate, issuerSinceMs, nowMs);
         state.recordRequest(requester, nowMs);
         double requiredTokens = state.requiredTokens(urgency, rate, nowMs);
-        if (state.bucket.tryTake(requiredTokens, nowMs)) {
+        if (state.bucket.tryConsume(requiredTokens, nowMs)) {
             return PermitDecision.ofGrant();
         }
         long nextMs =
                 Math.max(state.bucket.waitMs(requiredTokens, nowMs), state.requestIntervalMs(rate));
         long retryAfterMs = Math.min(MAX_RETRY_AFTER_MS, nextMs);
-        state.waitingUntilMs.put(urgency, nowMs + 2 * retryAfterMs);
+        state.reservedUntilMs.put(urgency, nowMs + 2 * retryAfterMs);
         return PermitDecision.denied(retryAfterMs);
     }
 
     /** Counts a use that was made without a permit. */
-    synchronized void recordUsage(PermitKey key, SharedRate rate, long sinceMs, long nowMs) {
-        updatedState(key, rate, sinceMs, nowMs).bucket.forceTake(nowMs);
+    synchronized void recordUsage(PermitKey key, SharedRate rate, long issuerSinceMs, long nowMs) {
+        updatedState(key, rate, issuerSinceMs, nowMs).bucket.consumeWithoutPermit(nowMs);
     }
 
-    private RateState updatedState(PermitKey key, SharedRate rate, long sinceMs, long nowMs) {
+    private RateState updatedState(PermitKey key, SharedRate rate, long issuerSinceMs, long nowMs) {
         checkNotNull(rate, "rate");
-        RateState state = rates.computeIfAbsent(key, k -> new RateState(rate, sinceMs));
-        state.discardTokensBefore(sinceMs);
+        RateState state = rates.computeIfAbsent(key, k -> new RateState(rate, issuerSinceMs));
+        state.discardTokensBefore(issuerSinceMs);
         state.bucket.setRate(rate, nowMs);
         return state;
     }
--- a/masticweir/src/main/java/org/masticweir/permits/PermitKey.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitKey.java
@@ -21,7 +21,7 @@
     }
 
     /** Returns the key of the retries for a service that exceed the routers' own shares. */
-    public static PermitKey ofRepeats(ServiceName service) {
+    public static PermitKey ofRetries(ServiceName service) {
         return new PermitKey("repeats/" + service.value());
     }
 
--- a/masticweir/src/main/java/org/masticweir/permits/ServerLimits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/ServerLimits.java
@@ -20,7 +20,7 @@
     /** The state of one server's limit. */
     private static final class Limit {
         private OptionalDouble perSecond = OptionalDouble.empty();
-        private long asOfMs = Long.MIN_VALUE;
+        private long reportedMs = Long.MIN_VALUE;
         private long blockedUntilMs = Long.MIN_VALUE;
     }
 
@@ -39,17 +39,17 @@
      * @param sentMs when the answered request was sent
      */
     public boolean recordAnswer(
-            ServerIncarnation server, AnnouncedLimit announced, long sentMs, long nowMs) {
-        Limit known = limits.get(server);
-        if (announced.kind() == AnnouncedLimit.Kind.ANNOUNCED) {
-            return set(server, OptionalDouble.of(announced.perSecond()), nowMs);
+            ServerIncarnation server, AnnouncedLimit announcedLimit, long sentMs, long nowMs) {
+        Limit knownLimit = limits.get(server);
+        if (announcedLimit.kind() == AnnouncedLimit.Kind.ANNOUNCED) {
+            return setLimit(server, OptionalDouble.of(announcedLimit.perSecond()), nowMs);
         }
         boolean isLifted =
-                announced.kind() == AnnouncedLimit.Kind.NONE
-                        && known != null
-                        && known.perSecond.isPresent()
-                        && sentMs > known.asOfMs;
-        return isLifted && set(server, OptionalDouble.empty(), nowMs);
+                announcedLimit.kind() == AnnouncedLimit.Kind.NONE
+                        && knownLimit != null
+                        && knownLimit.perSecond.isPresent()
+                        && sentMs > knownLimit.reportedMs;
+        return isLifted && setLimit(server, OptionalDouble.empty(), nowMs);
     }
 
     /**
@@ -57,28 +57,28 @@
      * has changed.
      */
     boolean merge(ServerLimit reported, long nowMs) {
-        Limit known = limits.get(reported.server());
+        Limit knownLimit = limits.get(reported.server());
         long asOfMs = nowMs - reported.ageMs();
-        return (known == null || asOfMs > known.asOfMs)
-                && set(reported.server(), reported.perSecond(), asOfMs);
+        return (knownLimit == null || asOfMs > knownLimit.reportedMs)
+                && setLimit(reported.server(), reported.perSecond(), asOfMs);
     }
 
-    private boolean set(ServerIncarnation server, OptionalDouble perSecond, long asOfMs) {
+    private boolean setLimit(ServerIncarnation server, OptionalDouble perSecond, long asOfMs) {
         Limit limit = limits.computeIfAbsent(checkNotNull(server, "server"), s -> new Limit());
         boolean changed = !limit.perSecond.equals(perSecond);
         limit.perSecond = perSecond;
-        limit.asOfMs = asOfMs;
+        limit.reportedMs = asOfMs;
         return changed;
     }
 
     /** Returns a server's limit in requests a second from all routers; empty if it has none. */
     public OptionalDouble perSecond(ServerIncarnation server) {
-        Limit limit = find(server);
+        Limit limit = findLimit(server);
         return limit == null ? OptionalDouble.empty() : limit.perSecond;
     }
 
     /** Called for each server before each send; in most deployments no server has a limit. */
-    private Limit find(ServerIncarnation server) {
+    private Limit findLimit(ServerIncarnation server) {
         return limits.isEmpty() ? null : limits.get(server);
     }
 
@@ -88,7 +88,7 @@
 
     /** Returns the time since a server's limit was last reported, in ms. */
     long ageMs(ServerIncarnation server, long nowMs) {
-        return nowMs - limits.get(server).asOfMs;
+        return nowMs - limits.get(server).reportedMs;
     }
 
     /** Sets the time before which no permit for a server is available. */
@@ -102,19 +102,19 @@
     /**
      * Returns the time until a permit for a server may be available, in ms; 0 if one may be now.
      */
-    public long blockedForMs(ServerIncarnation server, long nowMs) {
-        Limit limit = find(server);
+    public long remainingBlockMs(ServerIncarnation server, long nowMs) {
+        Limit limit = findLimit(server);
         boolean isLimited = limit != null && limit.perSecond.isPresent();
         return isLimited && limit.blockedUntilMs > nowMs ? limit.blockedUntilMs - nowMs : 0;
     }
 
-    /** Removes all servers that are not in {@code present}. */
-    void retain(Set<ServerIncarnation> present) {
-        limits.keySet().retainAll(present);
+    /** Removes all servers that are not in {@code listedServers}. */
+    void retainServers(Set<ServerIncarnation> listedServers) {
+        limits.keySet().retainAll(listedServers);
     }
 
     /** Returns the number of servers that have a limit. */
-    long count() {
+    long limitedServerCount() {
         return limits.values().stream().filter(l -> l.perSecond.isPresent()).count();
     }
 
@@ -126,7 +126,7 @@
                                 new ServerLimit(
                                         e.getKey(),
                                         e.getValue().perSecond,
-                                        nowMs - e.getValue().asOfMs))
+                                        nowMs - e.getValue().reportedMs))
                 .collect(ImmutableList.toImmutableList());
     }
 }
--- a/masticweir/src/main/java/org/masticweir/permits/SharedLimits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/SharedLimits.java
@@ -28,9 +28,9 @@
     private final SharedPermits permits;
     private final Clock clock;
     private final Consumer<LimitUpdate> broadcast;
-    private final Counter changes;
-    private final Counter unreadable;
-    private final Counter limited;
+    private final Counter changeCounter;
+    private final Counter unreadableCounter;
+    private final Counter limitedServersCounter;
 
     /**
      * Creates the limits of one router.
@@ -47,9 +47,9 @@
         this.permits = checkNotNull(permits, "permits");
         this.clock = checkNotNull(clock, "clock");
         this.broadcast = checkNotNull(broadcast, "broadcast");
-        changes = metrics.counter(MetricName.of("server_limits_changed_total"));
-        limited = metrics.counter(MetricName.of("servers_limited"));
-        unreadable = metrics.counter(MetricName.of("server_limits_unreadable_total"));
+        changeCounter = metrics.counter(MetricName.of("server_limits_changed_total"));
+        limitedServersCounter = metrics.counter(MetricName.of("servers_limited"));
+        unreadableCounter = metrics.counter(MetricName.of("server_limits_unreadable_total"));
     }
 
     /**
@@ -59,18 +59,19 @@
      * @param sentMs when that request was sent
      */
     public void handleAnswer(
-            ServerIncarnation server, AnnouncedLimit announced, String request, long sentMs) {
+            ServerIncarnation server, AnnouncedLimit announcedLimit, String request, long sentMs) {
         long now = clock.nowMs();
-        if (announced.kind() == AnnouncedLimit.Kind.UNREADABLE) {
-            unreadable.inc();
+        if (announcedLimit.kind() == AnnouncedLimit.Kind.UNREADABLE) {
+            unreadableCounter.inc();
             LOG.info("limits: {} announces an unreadable limit, answer to {}", server, request);
             return;
         }
-        OptionalDouble before = limits.perSecond(server);
-        if (limits.recordAnswer(server, announced, sentMs, now)) {
-            OptionalDouble after = limits.perSecond(server);
-            recordChange(server, before, after, "answer to " + request);
-            broadcast.accept(new LimitUpdate(ImmutableList.of(new ServerLimit(server, after, 0))));
+        OptionalDouble previousRate = limits.perSecond(server);
+        if (limits.recordAnswer(server, announcedLimit, sentMs, now)) {
+            OptionalDouble newRate = limits.perSecond(server);
+            recordChange(server, previousRate, newRate, "answer to " + request);
+            broadcast.accept(
+                    new LimitUpdate(ImmutableList.of(new ServerLimit(server, newRate, 0))));
         }
     }
 
@@ -78,9 +79,10 @@
     public void handleUpdate(RouterId peer, LimitUpdate update) {
         long now = clock.nowMs();
         for (ServerLimit limit : update.limits()) {
-            OptionalDouble before = limits.perSecond(limit.server());
+            OptionalDouble previousRate = limits.perSecond(limit.server());
             if (limits.merge(limit, now)) {
-                recordChange(limit.server(), before, limit.perSecond(), "update from " + peer);
+                recordChange(
+                        limit.server(), previousRate, limit.perSecond(), "update from " + peer);
             }
         }
     }
@@ -137,29 +139,32 @@
                         + " ms ago";
     }
 
-    /** Removes all servers that are not in {@code present}. */
-    public void retain(Set<ServerIncarnation> present) {
-        limits.retain(present);
+    /** Removes all servers that are not in {@code listedServers}. */
+    public void retainServers(Set<ServerIncarnation> listedServers) {
+        limits.retainServers(listedServers);
         updateCount();
     }
 
     private void updateCount() {
-        limited.inc(limits.count() - limited.getCount());
+        limitedServersCounter.inc(limits.limitedServerCount() - limitedServersCounter.getCount());
     }
 
     private void recordChange(
-            ServerIncarnation server, OptionalDouble before, OptionalDouble after, String source) {
-        changes.inc();
+            ServerIncarnation server,
+            OptionalDouble previousRate,
+            OptionalDouble newRate,
+            String source) {
+        changeCounter.inc();
         updateCount();
         LOG.info(
                 "limits: {} accepts {}, before {}, {}",
                 server,
-                perSecond(after),
-                perSecond(before),
+                formatRate(newRate),
+                formatRate(previousRate),
                 source);
     }
 
-    private static String perSecond(OptionalDouble limit) {
+    private static String formatRate(OptionalDouble limit) {
         return limit.isPresent() ? limit.getAsDouble() + " a second" : "any number";
     }
 }
--- a/masticweir/src/main/java/org/masticweir/permits/SharedPermits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/SharedPermits.java
@@ -39,19 +39,19 @@
     private static final long UNANSWERED_RETRY_MS = 250;
 
     private final RouterId self;
-    private final PeerSender links;
+    private final PeerSender peerSender;
     private final Clock clock;
-    private final Executor traffic;
-    private final IssuerSelector issuers;
-    private final PermitIssuer issuer = new PermitIssuer();
-    private final Counter issued;
-    private final Counter denied;
-    private final Counter unanswered;
+    private final Executor trafficExecutor;
+    private final IssuerSelector issuerSelector;
+    private final PermitIssuer localIssuer = new PermitIssuer();
+    private final Counter issuedCounter;
+    private final Counter deniedCounter;
+    private final Counter unansweredCounter;
 
     /**
      * Creates the permits of one router.
      *
-     * @param traffic runs the callbacks that receive the decisions
+     * @param trafficExecutor runs the callbacks that receive the decisions
      */
     public SharedPermits(
             RouterId self,
@@ -60,26 +60,26 @@
             Executor traffic,
             MetricRegistry metrics) {
         this.self = checkNotNull(self, "self");
-        this.links = checkNotNull(links, "links");
+        this.peerSender = checkNotNull(links, "links");
         this.clock = checkNotNull(clock, "clock");
-        this.traffic = checkNotNull(traffic, "traffic");
-        issuers = new IssuerSelector(self, clock.nowMs());
-        issued = metrics.counter(MetricName.of("permits_issued_total"));
-        denied = metrics.counter(MetricName.of("permits_denied_total"));
-        unanswered = metrics.counter(MetricName.of("permit_asks_unanswered_total"));
+        this.trafficExecutor = checkNotNull(traffic, "traffic");
+        issuerSelector = new IssuerSelector(self, clock.nowMs());
+        issuedCounter = metrics.counter(MetricName.of("permits_issued_total"));
+        deniedCounter = metrics.counter(MetricName.of("permits_denied_total"));
+        unansweredCounter = metrics.counter(MetricName.of("permit_asks_unanswered_total"));
     }
 
     /** Adds a router; it may issue permits once it is linked. */
     public void addRouter(RouterId router) {
-        issuers.addRouter(router, clock.nowMs());
+        issuerSelector.addRouter(router, clock.nowMs());
     }
 
-    public void linkUp(RouterId router) {
-        issuers.linkUp(router, clock.nowMs());
+    public void onLinkUp(RouterId router) {
+        issuerSelector.onLinkUp(router, clock.nowMs());
     }
 
-    public void linkDown(RouterId router) {
-        issuers.linkDown(router, clock.nowMs());
+    public void onLinkDown(RouterId router) {
+        issuerSelector.onLinkDown(router, clock.nowMs());
     }
 
     /**
@@ -91,17 +91,19 @@
      */
     public void request(
             PermitKey key, int urgency, SharedRate rate, Consumer<PermitDecision> callback) {
-        RouterId issuerId = issuers.issuer(key);
+        RouterId issuerId = issuerSelector.issuer(key);
         PermitRequest request = new PermitRequest(key, urgency, rate, false);
         if (issuerId.equals(self)) {
             callback.accept(issue(self, request));
             return;
         }
-        links.ask(issuerId, request, REQUEST_TIMEOUT_MS)
+        peerSender
+                .ask(issuerId, request, REQUEST_TIMEOUT_MS)
                 .whenComplete(
                         (reply, error) -> {
-                            PermitDecision decision = decision(issuerId, key, reply, error);
-                            traffic.execute(() -> callback.accept(decision));
+                            PermitDecision decision =
+                                    decisionFromReply(issuerId, key, reply, error);
+                            trafficExecutor.execute(() -> callback.accept(decision));
                         });
     }
 
@@ -109,13 +111,14 @@
      * Replies to a permit request of another router; forwards it if a third router is the issuer.
      */
     public void handleRequest(RouterId requester, PermitRequest request, Reply reply) {
-        RouterId issuerId = issuers.issuer(request.key());
+        RouterId issuerId = issuerSelector.issuer(request.key());
         if (request.isForwarded() || issuerId.equals(self)) {
             reply.send(new PermitReply(issue(requester, request)));
             return;
         }
         LOG.debug("permits: {} asks for {}, which {} issues", requester, request.key(), issuerId);
-        links.ask(
+        peerSender
+                .ask(
                         issuerId,
                         new PermitRequest(request.key(), request.urgency(), request.rate(), true),
                         FORWARD_TIMEOUT_MS)
@@ -123,47 +126,48 @@
                         (answer, error) ->
                                 reply.send(
                                         new PermitReply(
-                                                decision(issuerId, request.key(), answer, error))));
+                                                decisionFromReply(
+                                                        issuerId, request.key(), answer, error))));
     }
 
     /** Reports a use that could not wait for a permit, so that the issuer grants fewer permits. */
     void reportUsage(PermitKey key, SharedRate rate) {
-        RouterId issuerId = issuers.issuer(key);
+        RouterId issuerId = issuerSelector.issuer(key);
         if (issuerId.equals(self)) {
             handleUsage(new RateUsageReport(key, rate));
         } else {
-            links.send(issuerId, new RateUsageReport(key, rate));
+            peerSender.send(issuerId, new RateUsageReport(key, rate));
         }
     }
 
     /** Counts a use without a permit, by this router or another. */
     public void handleUsage(RateUsageReport report) {
         long now = clock.nowMs();
-        SharedRate localRate = report.rate().scaledBy(issuers.reachableFraction(now));
-        issuer.recordUsage(report.key(), localRate, issuers.linksChangedMs(), now);
+        SharedRate localRate = report.rate().scaledBy(issuerSelector.reachableFraction(now));
+        localIssuer.recordUsage(report.key(), localRate, issuerSelector.linksChangedMs(), now);
     }
 
     private PermitDecision issue(RouterId requester, PermitRequest request) {
         long now = clock.nowMs();
-        SharedRate localRate = request.rate().scaledBy(issuers.reachableFraction(now));
+        SharedRate localRate = request.rate().scaledBy(issuerSelector.reachableFraction(now));
         PermitDecision decision =
-                issuer.request(
+                localIssuer.decide(
                         requester,
                         request.key(),
                         request.urgency(),
                         localRate,
-                        issuers.linksChangedMs(),
+                        issuerSelector.linksChangedMs(),
                         now);
-        (decision.isGranted() ? issued : denied).inc();
+        (decision.isGranted() ? issuedCounter : deniedCounter).inc();
         return decision;
     }
 
-    private PermitDecision decision(
+    private PermitDecision decisionFromReply(
             RouterId issuerId, PermitKey key, PeerMessage reply, Throwable error) {
         if (error == null && reply instanceof PermitReply answer) {
             return answer.decision();
         }
-        unanswered.inc();
+        unansweredCounter.inc();
         LOG.info(
                 "permits: {} does not answer for {}, {}",
                 issuerId,
--- a/masticweir/src/main/java/org/masticweir/permits/TokenBucket.java
+++ b/masticweir/src/main/java/org/masticweir/permits/TokenBucket.java
@@ -17,20 +17,20 @@
     }
 
     /** Discards the tokens saved before {@code ms}. */
-    void emptyAt(long ms) {
+    void discardTokens(long ms) {
         tokens = 0;
         lastRefillMs = ms;
     }
 
     /** Changes the rate; saved tokens are kept up to the burst of the new rate. */
-    void setRate(SharedRate next, long nowMs) {
+    void setRate(SharedRate newRate, long nowMs) {
         refill(nowMs);
-        rate = checkNotNull(next, "next");
+        rate = checkNotNull(newRate, "newRate");
         tokens = Math.min(tokens, rate.burst());
     }
 
     /** Takes a token if at least {@code requiredTokens} are available. */
-    boolean tryTake(double requiredTokens, long nowMs) {
+    boolean tryConsume(double requiredTokens, long nowMs) {
         refill(nowMs);
         if (tokens < requiredTokens) {
             return false;
@@ -43,7 +43,7 @@
      * Takes a token for a use that has already been made. The balance may become negative, down to
      * the burst, which delays the next grants.
      */
-    void forceTake(long nowMs) {
+    void consumeWithoutPermit(long nowMs) {
         refill(nowMs);
         tokens = Math.max(-rate.burst(), tokens - 1);
     }
--- a/masticweir/src/main/java/org/masticweir/relay/ContentTrial.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ContentTrial.java
@@ -43,7 +43,7 @@
             }
 
             @Override
-            public OptionalLong holdLeftMs(long nowMs) {
+            public OptionalLong remainingQuarantineMs(long nowMs) {
                 return OptionalLong.of(context.quarantine().remainingHoldMs(content.get(), nowMs));
             }
         };
--- a/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
@@ -73,7 +73,8 @@
      */
     void handleEnd(HttpHead head, long nowMs) {
         if (answer.isStreaming()) {
-            context.durations().observe(plan.size(), firstMs - plan.receivedMs(), nowMs - firstMs);
+            context.durations()
+                    .recordStream(plan.size(), firstMs - plan.receivedMs(), nowMs - firstMs);
         } else {
             // If the caller already has all events, the answer has a head and an end only.
             startEventStream(head);
--- a/masticweir/src/main/java/org/masticweir/relay/LimitExchange.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LimitExchange.java
@@ -54,7 +54,7 @@
     @Override
     public void linkUp(Hello peer, LinkDirection direction) {
         if (direction == LinkDirection.OUTGOING) {
-            permits.linkUp(peer.router());
+            permits.onLinkUp(peer.router());
             traffic.execute(() -> limits.snapshot().ifPresent(m -> links.send(peer.router(), m)));
         }
     }
@@ -62,7 +62,7 @@
     @Override
     public void linkDown(RouterId peer, LinkDirection direction) {
         if (direction == LinkDirection.OUTGOING) {
-            permits.linkDown(peer);
+            permits.onLinkDown(peer);
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
@@ -131,7 +131,7 @@
         long now = context.clock().nowMs();
         OptionalLong expectedMs =
                 route.streams()
-                        ? context.durations().expectedMs(caller.size())
+                        ? context.durations().expectedDurationMs(caller.size())
                         : OptionalLong.of(receivedMs + timeoutMs(route, caller) - now);
         boolean isAdmitted =
                 route.streams()
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
@@ -339,7 +339,7 @@
                     health.updateListed(present, clock.nowMs());
                     serverNotices.updateListed(present, clock.nowMs());
                     losses.updateListed(present);
-                    limits.retain(present);
+                    limits.retainServers(present);
                 });
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/SharedRetryPermits.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SharedRetryPermits.java
@@ -30,7 +30,7 @@
      */
     void request(ServiceName service, int urgency, Consumer<PermitDecision> callback) {
         permits.request(
-                PermitKey.ofRepeats(service),
+                PermitKey.ofRetries(service),
                 urgency,
                 retryBudgets.allowance().orElseThrow(),
                 decision -> {
--- a/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
@@ -33,7 +33,7 @@
      */
     void start(long nowMs, BooleanSupplier isRelevant, Consumer<Optional<String>> callback) {
         if (silence.isLossCertain()) {
-            callback.accept(Optional.of("silent for " + silence.silentMs(nowMs) + " ms"));
+            callback.accept(Optional.of("silent for " + silence.silenceMs(nowMs) + " ms"));
         } else if (context.answerMetadata().isPausing(silence.server().incarnation())) {
             callback.accept(checkDuringPause(nowMs));
         } else {
@@ -66,7 +66,7 @@
             return Optional.of("no sign of life");
         }
         if (!report.get().isFrom(silence.server().incarnation())) {
-            context.health().recordGone(silence.server());
+            context.health().recordServerGone(silence.server());
             return Optional.of("has started again");
         }
         long now = context.clock().nowMs();
--- a/masticweir/src/main/java/org/masticweir/retry/SendWindow.java
+++ b/masticweir/src/main/java/org/masticweir/retry/SendWindow.java
@@ -45,9 +45,10 @@
     /** Clears the buckets that have left the window and returns the index of the current one. */
     private int advance(long nowMs) {
         long bucket = Math.max(currentBucket, Math.floorDiv(nowMs, BUCKET_MS));
-        long from = currentBucket < bucket - BUCKET_COUNT ? bucket - BUCKET_COUNT : currentBucket;
-        for (long s = from + 1; s <= bucket; s++) {
-            int i = Math.floorMod(s, BUCKET_COUNT);
+        long lastClearedBucket =
+                currentBucket < bucket - BUCKET_COUNT ? bucket - BUCKET_COUNT : currentBucket;
+        for (long b = lastClearedBucket + 1; b <= bucket; b++) {
+            int i = Math.floorMod(b, BUCKET_COUNT);
             firstSendSum -= firstSends[i];
             retrySum -= retries[i];
             firstSends[i] = 0;
--- a/masticweir/src/test/java/org/masticweir/forward/EngineOverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/EngineOverloadTest.java
@@ -25,10 +25,10 @@
  * 1.03 s alone and twice as long beside another one; a report runs for 5.5 s.
  */
 class EngineOverloadTest {
-    private static final long GAP_MS = 83;
+    private static final long ARRIVAL_INTERVAL_MS = 83;
     private static final int REPORTS = 72;
     private static final long RUN_MS = 5_500;
-    private static final long READ_MS = 2_060;
+    private static final long PREFILL_MS = 2_060;
     private static final long TICK_MS = 10;
     private static final long END_MS = 12_000;
 
@@ -76,7 +76,7 @@
             while (!scheduledActions.isEmpty() && scheduledActions.peek().atMs() <= now) {
                 scheduledActions.poll().action().run();
             }
-            if (arrived < REPORTS && now >= arrived * GAP_MS) {
+            if (arrived < REPORTS && now >= arrived * ARRIVAL_INTERVAL_MS) {
                 waiting.add(new Report(arrived, now, fixture.stateMachine(parametersAt(now))));
                 arrived++;
             }
@@ -90,7 +90,7 @@
                     boolean isOvertaking = waiting.stream().anyMatch(w -> w.number < report.number);
                     overtaken += isOvertaking ? 1 : 0;
                     LoadEntry entry = LoadEntry.open(fixture.loads, send, ForwardFixture.PROMPT);
-                    scheduledActions.add(new ScheduledAction(now + READ_MS, entry::endPrefill));
+                    scheduledActions.add(new ScheduledAction(now + PREFILL_MS, entry::endPrefill));
                     scheduledActions.add(new ScheduledAction(now + RUN_MS, entry::close));
                     each.remove();
                 } else if (step instanceof Step.End) {
--- a/masticweir/src/test/java/org/masticweir/forward/LimitedServersTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/LimitedServersTest.java
@@ -21,7 +21,7 @@
                 s -> fixture.limits.recordAnswer(s.incarnation(), AnnouncedLimit.of(5), 0, 0));
     }
 
-    private static Step.AcquirePermit permit(Step step) {
+    private static Step.AcquirePermit asAcquirePermit(Step step) {
         return assertInstanceOf(Step.AcquirePermit.class, step);
     }
 
@@ -38,7 +38,7 @@
     void areSentARequestOnlyWithAPermit() {
         limit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 1);
-        BackendServer server = permit(machine.next(0)).server();
+        BackendServer server = asAcquirePermit(machine.next(0)).server();
         Step.Send send =
                 assertInstanceOf(Step.Send.class, machine.onPermitDecision(server, true, 5));
         assertEquals(server, send.server());
@@ -48,9 +48,9 @@
     void areSkippedIfPermitIsDenied() {
         limit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 3);
-        BackendServer first = permit(machine.next(0)).server();
+        BackendServer first = asAcquirePermit(machine.next(0)).server();
         block(first, 400);
-        BackendServer second = permit(machine.onPermitDecision(first, false, 5)).server();
+        BackendServer second = asAcquirePermit(machine.onPermitDecision(first, false, 5)).server();
         assertNotEquals(first, second);
     }
 
@@ -72,7 +72,7 @@
         RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 1);
         fixture.servers.forEach(s -> block(s, 100));
         assertInstanceOf(Step.Wait.class, machine.next(0));
-        permit(machine.next(100));
+        asAcquirePermit(machine.next(100));
     }
 
     /** Partly delivered reports precede new ones, and new ones precede retries. */
@@ -80,12 +80,12 @@
     void serveStartedRequestsFirst() {
         limit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 3);
-        Step.AcquirePermit fresh = permit(machine.next(0));
+        Step.AcquirePermit fresh = asAcquirePermit(machine.next(0));
         assertInstanceOf(Step.Send.class, machine.onPermitDecision(fresh.server(), true, 5));
-        Step.AcquirePermit again = permit(machine.onRefused(10));
+        Step.AcquirePermit again = asAcquirePermit(machine.onRefused(10));
         assertInstanceOf(Step.Send.class, machine.onPermitDecision(again.server(), true, 15));
         machine.onEvent(1);
-        Step.AcquirePermit begun = permit(machine.onSendLost(again.server(), 20));
+        Step.AcquirePermit begun = asAcquirePermit(machine.onSendLost(again.server(), 20));
         assertTrue(begun.urgency() < fresh.urgency());
         assertTrue(fresh.urgency() < again.urgency());
     }
--- a/masticweir/src/test/java/org/masticweir/forward/PausingServersTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/PausingServersTest.java
@@ -23,7 +23,7 @@
         fixture.notices.recordPause(server.incarnation(), ms, 0);
     }
 
-    private static BackendServer sent(Step step) {
+    private static BackendServer selectedServer(Step step) {
         return assertInstanceOf(Step.Send.class, step).server();
     }
 
@@ -33,7 +33,7 @@
         fixture.loads.recordServerReport(fixture.servers.get(1).incarnation(), 96, 0);
         assertEquals(
                 fixture.servers.get(1),
-                sent(fixture.stateMachine(Repeatability.MUTATING, 1).next(0)));
+                selectedServer(fixture.stateMachine(Repeatability.MUTATING, 1).next(0)));
     }
 
     @Test
@@ -70,7 +70,7 @@
         BackendServer holder = first.copyHolder().orElseThrow();
         machine.onEvent(1);
         pause(holder, PAUSE_MS);
-        assertNotEquals(holder, sent(machine.onSendLost(first.server(), 10)));
+        assertNotEquals(holder, selectedServer(machine.onSendLost(first.server(), 10)));
     }
 
     @Test
--- a/masticweir/src/test/java/org/masticweir/forward/QuarantinedRequestTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/QuarantinedRequestTest.java
@@ -15,15 +15,15 @@
 class QuarantinedRequestTest {
     private final ForwardFixture fixture = new ForwardFixture().domain("a", 3).domain("b", 3);
 
-    private static Step.Send send(Step step) {
+    private static Step.Send asSend(Step step) {
         return assertInstanceOf(Step.Send.class, step);
     }
 
-    private static Step.End end(Step step) {
+    private static Step.End asEnd(Step step) {
         return assertInstanceOf(Step.End.class, step);
     }
 
-    private static final long HOLD_LEFT_MS = 60_000;
+    private static final long REMAINING_QUARANTINE_MS = 60_000;
 
     private SendRule rule = SendRule.ANY_SERVER;
 
@@ -36,8 +36,8 @@
                     }
 
                     @Override
-                    public OptionalLong holdLeftMs(long nowMs) {
-                        return OptionalLong.of(HOLD_LEFT_MS);
+                    public OptionalLong remainingQuarantineMs(long nowMs) {
+                        return OptionalLong.of(REMAINING_QUARANTINE_MS);
                     }
                 };
         return fixture.stateMachine(ForwardFixture.parameters(Repeatability.RESUMABLE, 5), gate);
@@ -46,19 +46,19 @@
     @Test
     void isRefusedAtOnceWithRetryAfter() {
         rule = SendRule.REJECT;
-        Step.End refused = end(requestUnderRule().next(0));
+        Step.End refused = asEnd(requestUnderRule().next(0));
         assertEquals(ErrorCode.QUARANTINED, refused.code());
         assertEquals(Verdict.NOT_RUN, refused.verdict());
-        assertEquals(OptionalLong.of(HOLD_LEFT_MS), refused.retryAfterMs());
+        assertEquals(OptionalLong.of(REMAINING_QUARANTINE_MS), refused.retryAfterMs());
     }
 
     /** A request that a server had started must not be reported as not run. */
     @Test
     void mayHaveRunAfterSend() {
         RequestStateMachine machine = requestUnderRule();
-        BackendServer first = send(machine.next(0)).server();
+        BackendServer first = asSend(machine.next(0)).server();
         rule = SendRule.REJECT;
-        Step.End ended = end(machine.onSendLost(first, 10));
+        Step.End ended = asEnd(machine.onSendLost(first, 10));
         assertEquals(ErrorCode.ENGINE_LOST, ended.code());
         assertEquals(Verdict.MAY_HAVE_RUN, ended.verdict());
         assertEquals(OptionalLong.empty(), ended.retryAfterMs());
@@ -69,7 +69,7 @@
         rule = SendRule.WAIT;
         RequestStateMachine machine = requestUnderRule();
         assertInstanceOf(Step.Wait.class, machine.next(0));
-        assertEquals(ErrorCode.OVERLOADED, end(machine.next(ForwardFixture.GOAL_MS / 2)).code());
+        assertEquals(ErrorCode.OVERLOADED, asEnd(machine.next(ForwardFixture.GOAL_MS / 2)).code());
     }
 
     /** Requests that run at the same server may be lost with it. */
@@ -79,6 +79,6 @@
                 .filter(s -> !s.id().value().equals("b-2"))
                 .forEach(s -> fixture.loads.recordSend(s.incarnation(), new RequestSize(0, 100)));
         rule = SendRule.LEAST_LOADED;
-        assertEquals("b-2", send(requestUnderRule().next(0)).server().id().value());
+        assertEquals("b-2", asSend(requestUnderRule().next(0)).server().id().value());
     }
 }
--- a/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineTest.java
@@ -20,11 +20,11 @@
 class RequestStateMachineTest {
     private final ForwardFixture fixture = new ForwardFixture().domain("a", 3).domain("b", 3);
 
-    private static Step.Send send(Step step) {
+    private static Step.Send asSend(Step step) {
         return assertInstanceOf(Step.Send.class, step);
     }
 
-    private static Step.End end(Step step) {
+    private static Step.End asEnd(Step step) {
         return assertInstanceOf(Step.End.class, step);
     }
 
@@ -35,7 +35,7 @@
     @Test
     void abortedSendCountsAsNotRun() {
         RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 60);
-        send(machine.next(0));
+        asSend(machine.next(0));
         assertEquals(Verdict.MAY_HAVE_RUN, machine.endAtDeadline().verdict());
         machine.onSendAborted(0);
         assertEquals(Verdict.NOT_RUN, machine.endAtDeadline().verdict());
@@ -67,7 +67,7 @@
 
         private RequestStateMachine retriedOnce(long nowMs) {
             RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 60);
-            BackendServer first = send(machine.next(nowMs)).server();
+            BackendServer first = asSend(machine.next(nowMs)).server();
             machine.onEvent(3);
             Step again = decide(machine, machine.onSendLost(first, nowMs), nowMs);
             assertInstanceOf(Step.Send.class, again);
@@ -88,11 +88,11 @@
         @Test
         void isNotConsumedByFailedConnects() {
             RequestStateMachine cutOff = fixture.stateMachine(Repeatability.RESUMABLE, 60);
-            Step step = cutOff.onSendLost(send(cutOff.next(0)).server(), 0);
+            Step step = cutOff.onSendLost(asSend(cutOff.next(0)).server(), 0);
             step = decide(cutOff, step, 0);
             for (int i = 1; i <= FAILED_CONNECTS; i++) {
                 long now = i;
-                Step after = cutOff.onConnectFailed(send(step).server(), now);
+                Step after = cutOff.onConnectFailed(asSend(step).server(), now);
                 fixture.servers.forEach(s -> fixture.health.recordAnswer(s.incarnation(), now));
                 step = decide(cutOff, after instanceof Step.Wait ? cutOff.next(i) : after, i);
             }
@@ -103,7 +103,7 @@
         @Test
         void isAwaitedByPartlyDeliveredStream() {
             RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 60);
-            BackendServer first = send(machine.next(0)).server();
+            BackendServer first = asSend(machine.next(0)).server();
             machine.onEvent(3);
             exhaustBudget();
             assertInstanceOf(Step.Wait.class, decide(machine, machine.onSendLost(first, 100), 100));
@@ -115,27 +115,27 @@
         @Test
         void isAwaitedByStreamUntilFirstEventGoal() {
             RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 60);
-            BackendServer first = send(machine.next(0)).server();
+            BackendServer first = asSend(machine.next(0)).server();
             exhaustBudget();
             assertInstanceOf(Step.Wait.class, decide(machine, machine.onSendLost(first, 100), 100));
             long lateMs = ForwardFixture.GOAL_MS;
-            Step.End end = end(decide(machine, machine.next(lateMs), lateMs));
+            Step.End end = asEnd(decide(machine, machine.next(lateMs), lateMs));
             assertEquals("no retry budget", end.reason());
         }
 
         @Test
         void isNotAwaitedByLookup() {
             RequestStateMachine machine = fixture.stateMachine(Repeatability.IDEMPOTENT, 3);
-            BackendServer first = send(machine.next(0)).server();
+            BackendServer first = asSend(machine.next(0)).server();
             exhaustBudget();
-            Step.End end = end(decide(machine, machine.onSendLost(first, 100), 100));
+            Step.End end = asEnd(decide(machine, machine.onSendLost(first, 100), 100));
             assertEquals("no retry budget", end.reason());
         }
     }
 
     /** Requests that must not run twice. */
     @Nested
-    class Mutating {
+    class MutatingRequest {
         private final RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 3);
 
         /**
@@ -144,16 +144,16 @@
          */
         @Test
         void isNotRetriedOnceItMayHaveRun() {
-            BackendServer first = send(machine.next(0)).server();
-            Step.End end = end(machine.onSendLost(first, 100));
+            BackendServer first = asSend(machine.next(0)).server();
+            Step.End end = asEnd(machine.onSendLost(first, 100));
             assertEquals(Verdict.MAY_HAVE_RUN, end.verdict());
             assertEquals(502, end.code().httpStatus(), "503 would report that it has not run");
         }
 
         @Test
         void isRetriedElsewhereAfterRefusal() {
-            BackendServer first = send(machine.next(0)).server();
-            assertNotEquals(first, send(machine.onRefused(5)).server());
+            BackendServer first = asSend(machine.next(0)).server();
+            assertNotEquals(first, asSend(machine.onRefused(5)).server());
         }
 
         @Test
@@ -161,7 +161,7 @@
             machine.next(0);
             machine.onRefused(1);
             machine.onRefused(2);
-            Step.End end = end(machine.onRefused(3));
+            Step.End end = asEnd(machine.onRefused(3));
             assertEquals(Verdict.NOT_RUN, end.verdict());
             assertEquals(503, end.code().httpStatus());
             assertTrue(end.retryAfterMs().isPresent());
@@ -176,7 +176,7 @@
 
     /** Streams that may resume at another server. */
     @Nested
-    class Resumable {
+    class ResumableStream {
         private final RequestStateMachine machine =
                 fixture.stateMachine(Repeatability.RESUMABLE, 5);
 
@@ -186,9 +186,9 @@
          */
         @Test
         void resumesAtCopyHolderAfterLastEvent() {
-            Step.Send first = send(machine.next(0));
+            Step.Send first = asSend(machine.next(0));
             machine.onEvent(41);
-            Step.Send next = send(machine.onSendLost(first.server(), 2_000));
+            Step.Send next = asSend(machine.onSendLost(first.server(), 2_000));
             assertEquals(first.copyHolder().orElseThrow(), next.server());
             assertTrue(next.fromCopy());
             assertEquals(OptionalLong.of(41), next.lastEventId());
@@ -196,22 +196,22 @@
 
         @Test
         void hasCopyInAnotherDomain() {
-            Step.Send first = send(machine.next(0));
+            Step.Send first = asSend(machine.next(0));
             assertNotEquals(first.server().domain(), first.copyHolder().orElseThrow().domain());
         }
 
         @Test
         void doesNotUseCopyBeforeFirstEvent() {
-            Step.Send first = send(machine.next(0));
-            assertFalse(send(machine.onSendLost(first.server(), 500)).fromCopy());
+            Step.Send first = asSend(machine.next(0));
+            assertFalse(asSend(machine.onSendLost(first.server(), 500)).fromCopy());
         }
 
         @Test
         void restartsIfHolderHasNoCopy() {
-            Step.Send first = send(machine.next(0));
+            Step.Send first = asSend(machine.next(0));
             machine.onEvent(3);
-            send(machine.onSendLost(first.server(), 1_000));
-            Step.Send anew = send(machine.onRefused(1_010));
+            asSend(machine.onSendLost(first.server(), 1_000));
+            Step.Send anew = asSend(machine.onRefused(1_010));
             assertFalse(anew.fromCopy());
             assertEquals(OptionalLong.of(3), anew.lastEventId());
         }
@@ -221,9 +221,9 @@
         void doesNotCountSendsToWrongServers() {
             Step step = machine.next(0);
             for (int i = 0; i < 5; i++) {
-                step = machine.onWrongServer(send(step).server(), i);
+                step = machine.onWrongServer(asSend(step).server(), i);
             }
-            send(step);
+            asSend(step);
             assertEquals(1, machine.sendCount());
         }
 
@@ -235,19 +235,19 @@
         void returnsToTriedEngineIfNoOtherIsLeft() {
             ForwardFixture small = new ForwardFixture().domain("a", 1).domain("b", 1);
             RequestStateMachine alone = small.stateMachine(Repeatability.RESUMABLE, 5);
-            BackendServer first = send(alone.next(0)).server();
+            BackendServer first = asSend(alone.next(0)).server();
             alone.onEvent(1);
-            BackendServer second = send(alone.onSendLost(first, 1_000)).server();
+            BackendServer second = asSend(alone.onSendLost(first, 1_000)).server();
             alone.onEvent(2);
             assertInstanceOf(Step.Wait.class, alone.onSendLost(second, 1_100));
-            Step.Send third = send(alone.next(1_100 + ServerHealth.FIRST_DOWN_MS));
+            Step.Send third = asSend(alone.next(1_100 + ServerHealth.FIRST_DOWN_MS));
             assertEquals(first, third.server());
             assertEquals(OptionalLong.of(2), third.lastEventId());
         }
 
         @Test
         void waitsForServerIfPartlyDelivered() {
-            Step.Send first = send(machine.next(0));
+            Step.Send first = asSend(machine.next(0));
             machine.onEvent(7);
             fixture.servers.clear();
             assertInstanceOf(Step.Wait.class, machine.onSendLost(first.server(), 1_000));
@@ -261,7 +261,7 @@
      * second of an engine's time for each.
      */
     @Nested
-    class OfReturningCaller {
+    class ReturningCaller {
         private final RequestStateMachine machine =
                 fixture.stateMachine(ForwardFixture.parametersOfReturningCaller(41));
 
@@ -280,7 +280,7 @@
         void goesToEngineWithCachedPrompt() {
             BackendServer keeper = fixture.byId("b-3");
             assertTrue(queriedEngines().contains(keeper));
-            Step.Send send = send(machine.onPromptCacheResult(Optional.of(keeper), 10));
+            Step.Send send = asSend(machine.onPromptCacheResult(Optional.of(keeper), 10));
             assertEquals(keeper, send.server());
             assertEquals(OptionalLong.of(41), send.lastEventId());
             assertFalse(send.fromCopy(), "a cached prompt is not a copy of the run");
@@ -292,7 +292,7 @@
             queriedEngines();
             fixture.health.recordFailure(keeper, 5);
             assertNotEquals(
-                    keeper, send(machine.onPromptCacheResult(Optional.of(keeper), 10)).server());
+                    keeper, asSend(machine.onPromptCacheResult(Optional.of(keeper), 10)).server());
         }
 
         @Test
@@ -300,7 +300,7 @@
             queriedEngines();
             BackendServer keeper = fixture.byId("b-3");
             machine.onPromptCacheResult(Optional.of(keeper), 10);
-            assertNotEquals(keeper, send(machine.onRefused(20)).server());
+            assertNotEquals(keeper, asSend(machine.onRefused(20)).server());
         }
 
         @Test
@@ -308,7 +308,7 @@
             queriedEngines();
             assertEquals(
                     "a",
-                    send(machine.onPromptCacheResult(Optional.empty(), 10))
+                    asSend(machine.onPromptCacheResult(Optional.empty(), 10))
                             .server()
                             .domain()
                             .value());
@@ -333,7 +333,7 @@
         @Test
         void isRefusedAtOnceIfServiceHasNoServer() {
             fixture.servers.clear();
-            Step.End end = end(fixture.stateMachine(Repeatability.IDEMPOTENT, 2).next(0));
+            Step.End end = asEnd(fixture.stateMachine(Repeatability.IDEMPOTENT, 2).next(0));
             assertEquals(Verdict.NOT_RUN, end.verdict());
         }
 
@@ -343,7 +343,7 @@
             RequestStateMachine machine = fixture.stateMachine(Repeatability.IDEMPOTENT, 2);
             assertInstanceOf(Step.Wait.class, machine.next(0));
             fixture.servers.forEach(s -> fixture.health.recordFailure(s, 600));
-            end(machine.next(ForwardFixture.GOAL_MS / 8 + 1));
+            asEnd(machine.next(ForwardFixture.GOAL_MS / 8 + 1));
         }
     }
 
@@ -354,8 +354,10 @@
      */
     @Nested
     class WaitForEngine {
-        private final RequestStateMachine first = fixture.stateMachine(Repeatability.RESUMABLE, 5);
-        private final RequestStateMachine second = fixture.stateMachine(Repeatability.RESUMABLE, 5);
+        private final RequestStateMachine firstRequest =
+                fixture.stateMachine(Repeatability.RESUMABLE, 5);
+        private final RequestStateMachine secondRequest =
+                fixture.stateMachine(Repeatability.RESUMABLE, 5);
 
         private void fillMemory() {
             fixture.servers.forEach(s -> fixture.loads.addCopyTokens(s.incarnation(), 80_000));
@@ -368,49 +370,49 @@
         @Test
         void isInOrderOfArrival() {
             fillMemory();
-            assertInstanceOf(Step.Wait.class, first.next(0));
-            assertInstanceOf(Step.Wait.class, second.next(10));
+            assertInstanceOf(Step.Wait.class, firstRequest.next(0));
+            assertInstanceOf(Step.Wait.class, secondRequest.next(10));
             freeMemory("a-1");
-            assertInstanceOf(Step.Wait.class, second.next(20));
-            send(first.next(30));
-            send(second.next(40));
+            assertInstanceOf(Step.Wait.class, secondRequest.next(20));
+            asSend(firstRequest.next(30));
+            asSend(secondRequest.next(40));
         }
 
         @Test
         void precedesLaterArrivalEvenIfCapacityIsFree() {
             fillMemory();
-            first.next(0);
+            firstRequest.next(0);
             freeMemory("a-1");
-            assertInstanceOf(Step.Wait.class, second.next(10));
-            send(first.next(20));
+            assertInstanceOf(Step.Wait.class, secondRequest.next(10));
+            asSend(firstRequest.next(20));
         }
 
         @Test
         void skipsClosedRequest() {
             fillMemory();
-            first.next(0);
-            second.next(10);
-            first.close();
+            firstRequest.next(0);
+            secondRequest.next(10);
+            firstRequest.close();
             freeMemory("a-1");
-            send(second.next(20));
+            asSend(secondRequest.next(20));
         }
 
         /** An entry that is not removed must not block a service forever. */
         @Test
         void skipsExpiredEntry() {
             fillMemory();
-            first.next(0);
+            firstRequest.next(0);
             RequestStateMachine late = fixture.stateMachine(Repeatability.RESUMABLE, 5);
             freeMemory("a-1");
-            send(late.next(ForwardFixture.GOAL_MS / 2 + 1));
+            asSend(late.next(ForwardFixture.GOAL_MS / 2 + 1));
         }
 
         @Test
         void lastsHalfOfGoal() {
             fillMemory();
-            assertInstanceOf(Step.Wait.class, first.next(0));
-            assertInstanceOf(Step.Wait.class, first.next(ForwardFixture.GOAL_MS / 2 - 1));
-            Step.End end = end(first.next(ForwardFixture.GOAL_MS / 2));
+            assertInstanceOf(Step.Wait.class, firstRequest.next(0));
+            assertInstanceOf(Step.Wait.class, firstRequest.next(ForwardFixture.GOAL_MS / 2 - 1));
+            Step.End end = asEnd(firstRequest.next(ForwardFixture.GOAL_MS / 2));
             assertEquals(Verdict.NOT_RUN, end.verdict());
         }
 
@@ -421,7 +423,7 @@
                 assertInstanceOf(
                         Step.Wait.class, fixture.stateMachine(Repeatability.RESUMABLE, 5).next(i));
             }
-            Step.End end = end(first.next(10));
+            Step.End end = asEnd(firstRequest.next(10));
             assertEquals("too many wait", end.reason());
             assertTrue(end.retryAfterMs().isPresent());
         }
@@ -431,7 +433,7 @@
             RequestStateMachine large =
                     fixture.stateMachine(
                             ForwardFixture.parametersOfSize(new RequestSize(90_000, 10)));
-            Step.End end = end(large.next(0));
+            Step.End end = asEnd(large.next(0));
             assertTrue(end.retryAfterMs().isEmpty(), "a retry can't help");
         }
     }
@@ -472,8 +474,8 @@
 
         @Test
         void isHedgedOnce() {
-            Step.Send first = send(machine.next(0));
-            Step.Send second = send(machine.onSlowAnswer(3_000).orElseThrow());
+            Step.Send first = asSend(machine.next(0));
+            Step.Send second = asSend(machine.onSlowAnswer(3_000).orElseThrow());
             assertNotEquals(first.server(), second.server());
             assertTrue(machine.hedgeDelayMs().isEmpty());
         }
--- a/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineWaitTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineWaitTest.java
@@ -13,7 +13,7 @@
 class RequestStateMachineWaitTest {
     private final ForwardFixture fixture = new ForwardFixture().domain("a", 3).domain("b", 3);
 
-    private static Step.Send send(Step step) {
+    private static Step.Send asSend(Step step) {
         return assertInstanceOf(Step.Send.class, step);
     }
 
@@ -27,7 +27,7 @@
     /** Returns a stream that was lost and has requested a retry permit. */
     private RequestStateMachine waitingForRetryPermit(long nowMs) {
         RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 60);
-        BackendServer first = send(machine.next(nowMs)).server();
+        BackendServer first = asSend(machine.next(nowMs)).server();
         machine.onEvent(3);
         exhaustOwnRetries(nowMs);
         assertInstanceOf(Step.AcquireRetryPermit.class, machine.onSendLost(first, nowMs));
@@ -54,7 +54,7 @@
         fixture.servers.clear();
         assertInstanceOf(Step.Wait.class, machine.onRetryDecision(true, 200));
         fixture.servers.addAll(all);
-        send(machine.next(200 + HeldPermits.VALID_MS - 1));
+        asSend(machine.next(200 + HeldPermits.VALID_MS - 1));
     }
 
     /**
@@ -64,7 +64,7 @@
     @Test
     void serverThatLeavesDuringConnectGetsNoRequest() {
         RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 60);
-        BackendServer chosen = send(machine.next(0)).server();
+        BackendServer chosen = asSend(machine.next(0)).server();
         assertTrue(machine.mayStillSend(chosen, 1));
         fixture.servers.remove(chosen);
         assertFalse(machine.mayStillSend(chosen, 1));
--- a/masticweir/src/test/java/org/masticweir/forward/ServerHealthTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerHealthTest.java
@@ -148,13 +148,13 @@
     class Gone {
         @Test
         void isPermanent() {
-            health.recordGone(fixture.byId("a-1"));
+            health.recordServerGone(fixture.byId("a-1"));
             assertTrue(health.isDown(fixture.byId("a-1"), Long.MAX_VALUE / 4));
         }
 
         @Test
         void isReportedToPeersOnce() {
-            health.recordGone(fixture.byId("a-1"));
+            health.recordServerGone(fixture.byId("a-1"));
             assertEquals(1, health.drainFailureReports().size());
             assertEquals(0, health.drainFailureReports().size());
         }
--- a/masticweir/src/test/java/org/masticweir/forward/ServerIncarnationTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerIncarnationTest.java
@@ -26,8 +26,8 @@
     private static final ServerIncarnation SECOND = ServerIncarnation.of(EngineId.of("b-1"), 2_000);
 
     private final ForwardFixture fixture = new ForwardFixture().domain("a", 2);
-    private final BackendServer before = ForwardFixture.server(FIRST, "b");
-    private final BackendServer after = ForwardFixture.server(SECOND, "b");
+    private final BackendServer previousServer = ForwardFixture.server(FIRST, "b");
+    private final BackendServer nextServer = ForwardFixture.server(SECOND, "b");
 
     private void start(BackendServer server, long nowMs) {
         fixture.servers.removeIf(s -> s.id().equals(server.id()));
@@ -40,20 +40,20 @@
     class Health {
         @Test
         void ofPreviousIncarnationDoesNotCount() {
-            start(before, 0);
-            fixture.health.recordFailure(before, 100);
-            fixture.health.recordGone(before);
-            start(after, 200);
-            assertFalse(fixture.health.isDown(after, 200));
-            assertFalse(fixture.health.hasRecentlyFailed(after, 200));
+            start(previousServer, 0);
+            fixture.health.recordFailure(previousServer, 100);
+            fixture.health.recordServerGone(previousServer);
+            start(nextServer, 200);
+            assertFalse(fixture.health.isDown(nextServer, 200));
+            assertFalse(fixture.health.hasRecentlyFailed(nextServer, 200));
         }
 
         @Test
         void isNotAffectedByLatePeerReport() {
-            start(before, 0);
-            start(after, 200);
-            fixture.health.recordPeerReport(before, true, 250);
-            assertFalse(fixture.health.isDown(after, 250));
+            start(previousServer, 0);
+            start(nextServer, 200);
+            fixture.health.recordPeerReport(previousServer, true, 250);
+            assertFalse(fixture.health.isDown(nextServer, 250));
         }
     }
 
@@ -62,10 +62,10 @@
     class Load {
         @Test
         void ofPreviousIncarnationDoesNotCount() {
-            start(before, 0);
+            start(previousServer, 0);
             fixture.loads.recordPeerLoad(
                     RouterId.of("r2"), FIRST, new ServerLoad(9, 2, 16_000, 80_000));
-            start(after, 200);
+            start(nextServer, 200);
             fixture.loads.retainServers(
                     Set.copyOf(fixture.servers.stream().map(s -> s.incarnation()).toList()));
             assertEquals(ServerLoad.none(), fixture.loads.totalLoad(SECOND));
@@ -78,12 +78,12 @@
     class Copies {
         @Test
         void areNotExpectedAtNextIncarnation() {
-            start(before, 0);
+            start(previousServer, 0);
             RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 5);
             Step.Send first = (Step.Send) machine.next(0);
             assertEquals(FIRST, first.copyHolder().orElseThrow().incarnation());
             machine.onEvent(3);
-            start(after, 1_000);
+            start(nextServer, 1_000);
             Step.Send next = (Step.Send) machine.onSendLost(first.server(), 1_000);
             assertFalse(next.fromCopy());
             assertEquals(OptionalLong.of(3), next.lastEventId());
--- a/masticweir/src/test/java/org/masticweir/forward/ServerNoticesPropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerNoticesPropertyTest.java
@@ -69,7 +69,7 @@
             simulation.run();
             leaves += simulation.leavingSinceMs.size();
             pauses += simulation.pausedUntilMs.size();
-            refused += simulation.refused;
+            refused += simulation.refusalCount;
         }
         assertTrue(leaves > 50 && pauses > 100 && refused > 100);
     }
@@ -83,7 +83,7 @@
         private final ForwardFixture forward = new ForwardFixture().domain("a", SERVERS);
         private final PriorityQueue<Answer> pendingAnswers =
                 new PriorityQueue<>((x, y) -> Long.compare(x.atMs(), y.atMs()));
-        private final Set<ServerIncarnation> leaving = new HashSet<>();
+        private final Set<ServerIncarnation> leavingServers = new HashSet<>();
         private final Map<ServerIncarnation, Long> serverPausedUntilMs = new HashMap<>();
 
         /**
@@ -95,7 +95,7 @@
         private final List<String> violations = new ArrayList<>();
         private final Set<ServerIncarnation> sentSinceSettled = new HashSet<>();
         private boolean isSettled;
-        private int refused;
+        private int refusalCount;
         private long nowMs;
 
         Simulation(Random random) {
@@ -131,7 +131,7 @@
             int event = random.nextInt(1_000);
             ServerIncarnation server = randomServer().incarnation();
             if (event < 2) {
-                leaving.add(server);
+                leavingServers.add(server);
             } else if (event < 12) {
                 serverPausedUntilMs.put(server, nowMs + 200 + random.nextInt(3_000));
             } else if (event < 16) {
@@ -174,7 +174,7 @@
         private void answer(ServerIncarnation server) {
             long atMs = nowMs + 2 + random.nextInt(MAX_DELAY_MS);
             long pauseMs = Math.max(0, serverPausedUntilMs.getOrDefault(server, 0L) - nowMs);
-            pendingAnswers.add(new Answer(server, atMs, leaving.contains(server), pauseMs));
+            pendingAnswers.add(new Answer(server, atMs, leavingServers.contains(server), pauseMs));
         }
 
         private void deliverAnswers() {
@@ -193,7 +193,7 @@
                 forward.health.recordAnswer(server, nowMs);
                 return;
             }
-            refused++;
+            refusalCount++;
             forward.health.recordRefusal(server, nowMs);
             // One refusal in four announces no pause.
             if (random.nextInt(4) > 0) {
--- a/masticweir/src/test/java/org/masticweir/forward/ServerSelectorTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerSelectorTest.java
@@ -198,8 +198,8 @@
         private static final int ROUTERS = 8;
         private static final int ENGINES = 64;
         private static final int PROMPTS = 600;
-        private static final long GAP_MS = 17;
-        private static final long READ_MS = 1_100;
+        private static final long ARRIVAL_INTERVAL_MS = 17;
+        private static final long PREFILL_MS = 1_100;
 
         private int maxConcurrentPrefills(boolean isSharingLoad) {
             List<ForwardFixture> routers = new ArrayList<>();
@@ -211,7 +211,7 @@
             List<Runnable> ends = new ArrayList<>();
             int max = 0;
             for (int i = 0; i < PROMPTS; i++) {
-                long now = i * GAP_MS;
+                long now = i * ARRIVAL_INTERVAL_MS;
                 int r = random.nextInt(ROUTERS);
                 ForwardFixture router = routers.get(r);
                 ServerIncarnation engine =
@@ -227,7 +227,7 @@
                 router.loads.recordSend(engine, ForwardFixture.PROMPT);
                 List<Long> until = prefillEndsMs.computeIfAbsent(engine, e -> new ArrayList<>());
                 until.removeIf(ms -> ms <= now);
-                until.add(now + READ_MS);
+                until.add(now + PREFILL_MS);
                 max = Math.max(max, until.size());
                 ends.add(() -> router.loads.recordPrefillEnd(engine, ForwardFixture.PROMPT));
                 ends.add(
@@ -237,8 +237,8 @@
                                 shareLoad(routers, r, engine);
                             }
                         });
-                if (i >= READ_MS / GAP_MS) {
-                    int first = 2 * (i - (int) (READ_MS / GAP_MS));
+                if (i >= PREFILL_MS / ARRIVAL_INTERVAL_MS) {
+                    int first = 2 * (i - (int) (PREFILL_MS / ARRIVAL_INTERVAL_MS));
                     ends.get(first).run();
                     ends.get(first + 1).run();
                 }
--- a/masticweir/src/test/java/org/masticweir/forward/ServiceRetryBudgetsTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServiceRetryBudgetsTest.java
@@ -19,9 +19,9 @@
     private static final double SHARE = 0.8;
     private static final double WINDOW_S = 10;
 
-    private static int countRetries(ServiceRetryBudgets repeats) {
+    private static int countRetries(ServiceRetryBudgets budgets) {
         int granted = 0;
-        while (repeats.tryRetry(SERVICE, 0)) {
+        while (budgets.tryRetry(SERVICE, 0)) {
             granted++;
         }
         return granted;
--- a/masticweir/src/test/java/org/masticweir/forward/SilenceTimerTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/SilenceTimerTest.java
@@ -35,7 +35,7 @@
 
     /** The engine is in the prefill. */
     @Nested
-    class BeforeTheFirstEvent {
+    class BeforeFirstEvent {
         @Test
         void timeoutIsHalfOfGoalIfPrefillSpeedIsUnknown() {
             assertEquals(GOAL_MS / 2, timerOfSend(false).deadlineMs());
@@ -85,11 +85,11 @@
      * s.
      */
     @Nested
-    class ReportOfEngine {
-        private final SilenceTimer silence = timerOfSend(false);
+    class EngineReports {
+        private final SilenceTimer timer = timerOfSend(false);
 
         private boolean mayHaveRequest(int admitted, int waiting, String... running) {
-            return silence.recordReport(
+            return timer.recordReport(
                     new EngineReport(Set.of(running), admitted, waiting, OptionalLong.empty()),
                     "r1",
                     2_300);
@@ -115,15 +115,15 @@
         @Test
         void isIgnoredIfRequestWasJustSent() {
             EngineReport idle = new EngineReport(Set.of(), 0, 0, OptionalLong.empty());
-            assertTrue(silence.recordReport(idle, "r1", 256));
-            assertFalse(silence.recordReport(idle, "r1", SilenceTimer.MAX_REPORT_AGE_MS));
+            assertTrue(timer.recordReport(idle, "r1", 256));
+            assertFalse(timer.recordReport(idle, "r1", SilenceTimer.MAX_REPORT_AGE_MS));
         }
 
         @Test
         void restartsTimer() {
-            long allowedMs = silence.deadlineMs();
+            long allowedMs = timer.deadlineMs();
             mayHaveRequest(1, 0);
-            assertEquals(2_300 + allowedMs, silence.deadlineMs());
+            assertEquals(2_300 + allowedMs, timer.deadlineMs());
         }
     }
 
--- a/masticweir/src/test/java/org/masticweir/forward/StreamDurationEstimatorTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/StreamDurationEstimatorTest.java
@@ -12,7 +12,7 @@
 
     @Test
     void isEmptyBeforeFirstObservation() {
-        assertTrue(estimator.expectedMs(ForwardFixture.PROMPT).isEmpty());
+        assertTrue(estimator.expectedDurationMs(ForwardFixture.PROMPT).isEmpty());
     }
 
     /**
@@ -21,17 +21,22 @@
      */
     @Test
     void growsWithMaxOutputTokens() {
-        estimator.observe(new RequestSize(8_000, 1_000), 1_000, 4_000);
-        assertEquals(OptionalLong.of(6_500), estimator.expectedMs(new RequestSize(8_000, 1_000)));
-        assertEquals(OptionalLong.of(9_100), estimator.expectedMs(new RequestSize(8_000, 1_500)));
+        estimator.recordStream(new RequestSize(8_000, 1_000), 1_000, 4_000);
+        assertEquals(
+                OptionalLong.of(6_500),
+                estimator.expectedDurationMs(new RequestSize(8_000, 1_000)));
+        assertEquals(
+                OptionalLong.of(9_100),
+                estimator.expectedDurationMs(new RequestSize(8_000, 1_500)));
     }
 
     @Test
     void adaptsToNewObservations() {
-        estimator.observe(new RequestSize(8_000, 1_000), 1_000, 4_000);
+        estimator.recordStream(new RequestSize(8_000, 1_000), 1_000, 4_000);
         for (int i = 0; i < 40; i++) {
-            estimator.observe(new RequestSize(8_000, 1_000), 2_000, 8_000);
+            estimator.recordStream(new RequestSize(8_000, 1_000), 2_000, 8_000);
         }
-        assertTrue(estimator.expectedMs(new RequestSize(8_000, 1_000)).getAsLong() > 12_000);
+        assertTrue(
+                estimator.expectedDurationMs(new RequestSize(8_000, 1_000)).getAsLong() > 12_000);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/permits/PermitFleet.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitFleet.java
@@ -34,7 +34,7 @@
     /** Retries that all routers together may send in ten seconds beyond their own shares. */
     static final double ALLOWED_RETRIES = 150;
 
-    private static final PermitKey RETRIES = PermitKey.ofRepeats(ServiceName.of("reports"));
+    private static final PermitKey RETRIES = PermitKey.ofRetries(ServiceName.of("reports"));
     private static final SharedRate ALLOWANCE = SharedRate.ofAllowance(ALLOWED_RETRIES);
 
     /** Time without a message after which a link is closed, in ms. */
@@ -54,7 +54,7 @@
     private static final int MAX_PERMIT_REQUESTS = 2;
 
     private final Random random;
-    private final double lost;
+    private final double messageLossRate;
     private final List<Node> nodes = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final FleetClock clock = new FleetClock();
@@ -68,7 +68,7 @@
     /** A request that arrived at the server. */
     record Arrival(long atMs, int router, boolean mustComply) {}
 
-    private record Event(long atMs, int number, Runnable what) implements Comparable<Event> {
+    private record Event(long atMs, int number, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return atMs == other.atMs
@@ -93,13 +93,13 @@
     private final class Node implements PeerSender {
         private final int index;
         private final RouterId id;
-        private final Set<Integer> linked = new HashSet<>();
-        private final List<Runnable> deferred = new ArrayList<>();
+        private final Set<Integer> linkedNodes = new HashSet<>();
+        private final List<Runnable> deferredActions = new ArrayList<>();
         private ServerLimits limits;
         private SharedPermits permits;
-        private SharedLimits shared;
+        private SharedLimits sharedLimits;
         private int incarnation;
-        private int side;
+        private int partitionSide;
         private boolean isUp = true;
         private boolean isSuspended;
         private long mustComplyFromMs = Long.MAX_VALUE;
@@ -114,38 +114,40 @@
         private void start() {
             limits = ServerLimits.create();
             permits = new SharedPermits(id, this, clock, Runnable::run, new MetricRegistry());
-            shared =
+            sharedLimits =
                     new SharedLimits(limits, permits, clock, new MetricRegistry(), this::broadcast);
             mustComplyFromMs = Long.MAX_VALUE;
         }
 
         private void broadcast(LimitUpdate update) {
-            linked.forEach(peer -> send(nodes.get(peer).id, update));
+            linkedNodes.forEach(peer -> send(nodes.get(peer).id, update));
         }
 
-        /** Runs {@code what} in this process when it is not suspended, unless it has restarted. */
-        private void runInProcess(Runnable what) {
+        /**
+         * Runs {@code action} in this process when it is not suspended, unless it has restarted.
+         */
+        private void runInProcess(Runnable action) {
             int then = incarnation;
             runOrDefer(
                     () -> {
                         if (incarnation == then && isUp) {
-                            what.run();
+                            action.run();
                         }
                     });
         }
 
-        private void runOrDefer(Runnable what) {
+        private void runOrDefer(Runnable action) {
             if (isSuspended) {
-                deferred.add(what);
+                deferredActions.add(action);
             } else {
-                what.run();
+                action.run();
             }
         }
 
         @Override
         public boolean send(RouterId to, PeerMessage message) {
             Node peer = byId(to);
-            deliver(this, peer, () -> peer.shared.handleUpdate(id, (LimitUpdate) message));
+            deliver(this, peer, () -> peer.sharedLimits.handleUpdate(id, (LimitUpdate) message));
             return true;
         }
 
@@ -187,18 +189,18 @@
         }
 
         /** Handles a request of a caller. */
-        private void request(int asksLeft) {
+        private void request(int remainingPermitRequests) {
             if (!limits.isLimited(SERVER)) {
                 sendToServer();
-            } else if (limits.blockedForMs(SERVER, nowMs) == 0 && asksLeft > 0) {
-                shared.requestPermit(
+            } else if (limits.remainingBlockMs(SERVER, nowMs) == 0 && remainingPermitRequests > 0) {
+                sharedLimits.requestPermit(
                         SERVER,
                         0,
                         decision -> {
                             if (decision.isGranted()) {
                                 sendToServer();
                             } else {
-                                request(asksLeft - 1);
+                                request(remainingPermitRequests - 1);
                             }
                         });
             }
@@ -241,7 +243,7 @@
             if (announced.kind() == AnnouncedLimit.Kind.ANNOUNCED) {
                 mustComplyFromMs = Math.min(mustComplyFromMs, nowMs + COMPLIANCE_MS);
             }
-            shared.handleAnswer(SERVER, announced, "request", sentMs);
+            sharedLimits.handleAnswer(SERVER, announced, "request", sentMs);
         }
     }
 
@@ -251,42 +253,42 @@
     /**
      * Creates routers that all know each other, with links that come up one after the other.
      *
-     * @param lost fraction of the messages between routers that is lost
+     * @param messageLossRate fraction of the messages between routers that is lost
      */
-    PermitFleet(int routers, double lost, long seed) {
+    PermitFleet(int routers, double messageLossRate, long seed) {
         random = new Random(seed);
-        this.lost = lost;
+        this.messageLossRate = messageLossRate;
         for (int i = 0; i < routers; i++) {
             nodes.add(new Node(i));
         }
         nodes.forEach(n -> nodes.forEach(peer -> n.permits.addRouter(peer.id)));
-        nodes.forEach(this::linkSoon);
+        nodes.forEach(this::scheduleLinks);
     }
 
     private Node byId(RouterId id) {
         return nodes.get(Integer.parseInt(id.value().substring(1)));
     }
 
-    void schedule(long ms, Runnable what) {
-        events.add(new Event(nowMs + ms, nextEventNumber++, what));
+    void schedule(long ms, Runnable action) {
+        events.add(new Event(nowMs + ms, nextEventNumber++, action));
     }
 
     void runUntil(long untilMs) {
         while (!events.isEmpty() && events.peek().atMs() <= untilMs) {
             Event next = events.poll();
             nowMs = next.atMs();
-            next.what().run();
+            next.action().run();
         }
         nowMs = untilMs;
     }
 
     /** Sets the limit that the server announces from now on; empty for no limit. */
-    void announce(OptionalDouble perSecond) {
+    void setLimit(OptionalDouble perSecond) {
         limit = perSecond;
     }
 
     /** Gives each router its share of {@code perSecond} requests until {@code untilMs}. */
-    void load(double[] shares, double perSecond, long untilMs) {
+    void scheduleRequests(double[] shares, double perSecond, long untilMs) {
         for (int i = 0; i < shares.length; i++) {
             if (shares[i] > 0) {
                 Node node = nodes.get(i);
@@ -297,7 +299,7 @@
     }
 
     /** Gives each router its share of {@code perSecond} retries until {@code untilMs}. */
-    void retryLoad(double[] shares, double perSecond, long untilMs) {
+    void scheduleRetries(double[] shares, double perSecond, long untilMs) {
         for (int i = 0; i < shares.length; i++) {
             if (shares[i] > 0) {
                 Node node = nodes.get(i);
@@ -306,7 +308,7 @@
         }
     }
 
-    private void scheduleNext(Node node, double gapMs, long untilMs, Runnable what) {
+    private void scheduleNext(Node node, double gapMs, long untilMs, Runnable action) {
         long waitMs = Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * gapMs));
         if (nowMs + waitMs > untilMs) {
             return;
@@ -315,24 +317,24 @@
                 waitMs,
                 () -> {
                     if (node.isUp && !node.isSuspended) {
-                        what.run();
+                        action.run();
                     }
-                    scheduleNext(node, gapMs, untilMs, what);
+                    scheduleNext(node, gapMs, untilMs, action);
                 });
     }
 
     private boolean canReach(Node from, Node to) {
-        return from.isUp && to.isUp && from.side == to.side;
+        return from.isUp && to.isUp && from.partitionSide == to.partitionSide;
     }
 
-    private void deliver(Node from, Node to, Runnable what) {
-        boolean arrives = canReach(from, to) && random.nextDouble() >= lost;
+    private void deliver(Node from, Node to, Runnable action) {
+        boolean arrives = canReach(from, to) && random.nextDouble() >= messageLossRate;
         if (arrives) {
-            schedule(1 + random.nextInt(MAX_DELAY_MS), () -> to.runInProcess(what));
+            schedule(1 + random.nextInt(MAX_DELAY_MS), () -> to.runInProcess(action));
         }
     }
 
-    private void linkSoon(Node node) {
+    private void scheduleLinks(Node node) {
         for (Node peer : nodes) {
             if (peer != node) {
                 schedule(random.nextInt(MAX_RELINK_MS), () -> linkUp(node, peer));
@@ -345,16 +347,16 @@
         if (!canReach(node, peer)
                 || node.isSuspended
                 || peer.isSuspended
-                || !node.linked.add(peer.index)) {
+                || !node.linkedNodes.add(peer.index)) {
             return;
         }
-        node.permits.linkUp(peer.id);
-        node.shared.snapshot().ifPresent(update -> node.send(peer.id, update));
+        node.permits.onLinkUp(peer.id);
+        node.sharedLimits.snapshot().ifPresent(update -> node.send(peer.id, update));
     }
 
     private void linkDown(Node node, Node peer) {
-        if (node.linked.remove(peer.index)) {
-            node.permits.linkDown(peer.id);
+        if (node.linkedNodes.remove(peer.index)) {
+            node.permits.onLinkDown(peer.id);
         }
     }
 
@@ -376,7 +378,7 @@
         }
         node.isUp = false;
         node.incarnation++;
-        node.linked.clear();
+        node.linkedNodes.clear();
         for (Node peer : nodes) {
             schedule(1 + random.nextInt(MAX_DELAY_MS), () -> linkDown(peer, node));
         }
@@ -386,7 +388,7 @@
                     node.isUp = true;
                     node.start();
                     nodes.forEach(peer -> node.permits.addRouter(peer.id));
-                    linkSoon(node);
+                    scheduleLinks(node);
                 });
     }
 
@@ -402,31 +404,31 @@
                 forMs,
                 () -> {
                     node.isSuspended = false;
-                    List<Runnable> deferred = ImmutableList.copyOf(node.deferred);
-                    node.deferred.clear();
+                    List<Runnable> deferred = ImmutableList.copyOf(node.deferredActions);
+                    node.deferredActions.clear();
                     deferred.forEach(Runnable::run);
-                    linkSoon(node);
+                    scheduleLinks(node);
                 });
     }
 
     /** Partitions the first {@code count} routers from the others for a time. */
     void partition(int count, long forMs) {
-        assignSide(count, 1);
+        assignPartitionSide(count, 1);
         for (Node node : nodes) {
             nodes.stream()
-                    .filter(peer -> peer.side != node.side)
+                    .filter(peer -> peer.partitionSide != node.partitionSide)
                     .forEach(peer -> closeLinkIfSilent(node, peer));
         }
         schedule(
                 forMs,
                 () -> {
-                    assignSide(count, 0);
-                    nodes.forEach(this::linkSoon);
+                    assignPartitionSide(count, 0);
+                    nodes.forEach(this::scheduleLinks);
                 });
     }
 
-    private void assignSide(int count, int side) {
-        nodes.subList(0, count).forEach(n -> n.side = side);
+    private void assignPartitionSide(int count, int side) {
+        nodes.subList(0, count).forEach(n -> n.partitionSide = side);
     }
 
     List<Arrival> arrivals() {
@@ -463,9 +465,9 @@
         return most;
     }
 
-    /** Runs {@code what} at {@code atMs}. */
-    void scheduleAt(long atMs, Consumer<PermitFleet> what) {
-        schedule(atMs - nowMs, () -> what.accept(this));
+    /** Runs {@code action} at {@code atMs}. */
+    void scheduleAt(long atMs, Consumer<PermitFleet> action) {
+        schedule(atMs - nowMs, () -> action.accept(this));
     }
 
     /** Returns the limit that a router has stored. */
--- a/masticweir/src/test/java/org/masticweir/permits/PermitFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitFleetTest.java
@@ -19,16 +19,16 @@
     private static final long WINDOW_MS = 4_000;
     private static final long ANNOUNCED_MS = 2_000;
     private static final long END_MS = 30_000;
-    private static final int FAULTS = 8;
+    private static final int FAULT_COUNT = 8;
 
     /** Requests a second by all callers. */
-    private static final double DEMAND = 120;
+    private static final double REQUESTS_PER_SECOND = 120;
 
     private static double allowedInWindow(double limit) {
         return limit * WINDOW_MS / 1_000 + 5;
     }
 
-    private static double[] evenly(int routers) {
+    private static double[] evenShares(int routers) {
         double[] shares = new double[routers];
         Arrays.fill(shares, 1.0 / routers);
         return shares;
@@ -55,8 +55,8 @@
         void limitIsRespectedAndUsed(int routers) {
             double limit = 4.7;
             PermitFleet fleet = new PermitFleet(routers, 0, routers);
-            fleet.load(evenly(routers), DEMAND, END_MS);
-            fleet.scheduleAt(ANNOUNCED_MS, f -> f.announce(OptionalDouble.of(limit)));
+            fleet.scheduleRequests(evenShares(routers), REQUESTS_PER_SECOND, END_MS);
+            fleet.scheduleAt(ANNOUNCED_MS, f -> f.setLimit(OptionalDouble.of(limit)));
             fleet.runUntil(END_MS);
             assertWithinLimit(fleet, limit);
             long usedFromMs = ANNOUNCED_MS + 3_000;
@@ -72,8 +72,8 @@
         void permitRequestsAreBoundedPerPermitAndRouter() {
             double limit = 4.7;
             PermitFleet fleet = new PermitFleet(95, 0, 5);
-            fleet.load(evenly(95), DEMAND, END_MS);
-            fleet.announce(OptionalDouble.of(limit));
+            fleet.scheduleRequests(evenShares(95), REQUESTS_PER_SECOND, END_MS);
+            fleet.setLimit(OptionalDouble.of(limit));
             fleet.runUntil(END_MS);
             double requests = fleet.permitRequestsSent() * 1_000.0 / END_MS;
             assertTrue(requests <= 95 / 2.0 + 4 * limit, requests + " permit requests a second");
@@ -86,8 +86,8 @@
             double[] shares = new double[95];
             shares[17] = 1;
             PermitFleet fleet = new PermitFleet(95, 0, 3);
-            fleet.load(shares, DEMAND, END_MS);
-            fleet.announce(OptionalDouble.of(limit));
+            fleet.scheduleRequests(shares, REQUESTS_PER_SECOND, END_MS);
+            fleet.setLimit(OptionalDouble.of(limit));
             fleet.runUntil(END_MS);
             double used = arrivalCount(fleet, 5_000, END_MS) * 1_000.0 / (END_MS - 5_000);
             assertTrue(used >= 0.85 * limit, used + " a second used");
@@ -97,13 +97,13 @@
         @Test
         void limitIsLiftedWhenTheServerAnnouncesNone() {
             PermitFleet fleet = new PermitFleet(8, 0, 4);
-            fleet.load(evenly(8), DEMAND, END_MS);
-            fleet.announce(OptionalDouble.of(4.5));
-            fleet.scheduleAt(10_000, f -> f.announce(OptionalDouble.empty()));
+            fleet.scheduleRequests(evenShares(8), REQUESTS_PER_SECOND, END_MS);
+            fleet.setLimit(OptionalDouble.of(4.5));
+            fleet.scheduleAt(10_000, f -> f.setLimit(OptionalDouble.empty()));
             fleet.runUntil(END_MS);
             assertTrue(
                     arrivalCount(fleet, 12_000, END_MS)
-                            >= 0.85 * DEMAND * (END_MS - 12_000) / 1_000);
+                            >= 0.85 * REQUESTS_PER_SECOND * (END_MS - 12_000) / 1_000);
             for (int i = 0; i < 8; i++) {
                 assertEquals(OptionalDouble.empty(), fleet.storedLimit(i));
             }
@@ -116,8 +116,8 @@
         @Test
         void limitOfZeroStillAllowsSomeRequests() {
             PermitFleet fleet = new PermitFleet(8, 0, 4);
-            fleet.load(evenly(8), DEMAND, END_MS);
-            fleet.announce(OptionalDouble.of(0));
+            fleet.scheduleRequests(evenShares(8), REQUESTS_PER_SECOND, END_MS);
+            fleet.setLimit(OptionalDouble.of(0));
             fleet.runUntil(END_MS);
             assertWithinLimit(fleet, 0);
             assertTrue(arrivalCount(fleet, 10_000, END_MS) >= 1);
@@ -126,15 +126,15 @@
 
     /** Retries beyond each router's own retry budget, while most servers fail. */
     @Nested
-    class Retries {
+    class RetryAllowance {
         private static final long RETRY_WINDOW_MS = 10_000;
-        private static final double FAILING = 200;
+        private static final double RETRIES_PER_SECOND = 200;
 
         private static int maxInWindow(PermitFleet fleet) {
             return PermitFleet.maxInWindow(fleet.retries(), RETRY_WINDOW_MS, 0);
         }
 
-        private static void assertWithin(PermitFleet fleet) {
+        private static void assertWithinAllowance(PermitFleet fleet) {
             assertTrue(
                     maxInWindow(fleet) <= PermitFleet.ALLOWED_RETRIES,
                     maxInWindow(fleet) + " in a window");
@@ -144,9 +144,9 @@
         @ValueSource(ints = {8, 61, 95, 390})
         void stayWithinTheAllowanceAndUseIt(int routers) {
             PermitFleet fleet = new PermitFleet(routers, 0, routers);
-            fleet.retryLoad(evenly(routers), FAILING, END_MS);
+            fleet.scheduleRetries(evenShares(routers), RETRIES_PER_SECOND, END_MS);
             fleet.runUntil(END_MS);
-            assertWithin(fleet);
+            assertWithinAllowance(fleet);
             double wanted = 0.85 * PermitFleet.ALLOWED_RETRIES;
             assertTrue(maxInWindow(fleet) >= wanted, maxInWindow(fleet) + " in the best window");
         }
@@ -157,9 +157,9 @@
             double[] shares = new double[95];
             shares[40] = 1;
             PermitFleet fleet = new PermitFleet(95, 0, 2);
-            fleet.retryLoad(shares, FAILING, END_MS);
+            fleet.scheduleRetries(shares, RETRIES_PER_SECOND, END_MS);
             fleet.runUntil(END_MS);
-            assertWithin(fleet);
+            assertWithinAllowance(fleet);
             double wanted = 0.85 * PermitFleet.ALLOWED_RETRIES;
             assertTrue(maxInWindow(fleet) >= wanted, maxInWindow(fleet) + " in the best window");
         }
@@ -170,14 +170,14 @@
             Random random = new Random(seed);
             int routers = 3 + random.nextInt(40);
             PermitFleet fleet = new PermitFleet(routers, 0.05 * random.nextDouble(), seed);
-            fleet.retryLoad(evenly(routers), FAILING, END_MS);
+            fleet.scheduleRetries(evenShares(routers), RETRIES_PER_SECOND, END_MS);
             runWithFaults(fleet, routers, random);
-            assertWithin(fleet);
+            assertWithinAllowance(fleet);
         }
     }
 
     private static void runWithFaults(PermitFleet fleet, int routers, Random random) {
-        for (int i = 0; i < FAULTS; i++) {
+        for (int i = 0; i < FAULT_COUNT; i++) {
             scheduleFault(fleet, routers, random);
         }
         fleet.runUntil(END_MS);
@@ -203,8 +203,8 @@
             int routers = 3 + random.nextInt(22);
             double limit = 1 + 20 * random.nextDouble();
             PermitFleet fleet = new PermitFleet(routers, 0.05 * random.nextDouble(), seed);
-            fleet.load(evenly(routers), DEMAND, END_MS);
-            fleet.scheduleAt(ANNOUNCED_MS, f -> f.announce(OptionalDouble.of(limit)));
+            fleet.scheduleRequests(evenShares(routers), REQUESTS_PER_SECOND, END_MS);
+            fleet.scheduleAt(ANNOUNCED_MS, f -> f.setLimit(OptionalDouble.of(limit)));
             runWithFaults(fleet, routers, random);
             assertWithinLimit(fleet, limit);
         }
@@ -214,8 +214,8 @@
         void limitIsRespectedAfterTheLossOfAllRouters() {
             double limit = 4.5;
             PermitFleet fleet = new PermitFleet(24, 0, 6);
-            fleet.load(evenly(24), DEMAND, END_MS);
-            fleet.announce(OptionalDouble.of(limit));
+            fleet.scheduleRequests(evenShares(24), REQUESTS_PER_SECOND, END_MS);
+            fleet.setLimit(OptionalDouble.of(limit));
             fleet.scheduleAt(
                     10_000,
                     f -> {
@@ -232,8 +232,8 @@
         void limitIsSharedByBothSidesOfAPartition() {
             double limit = 9;
             PermitFleet fleet = new PermitFleet(8, 0, 8);
-            fleet.load(evenly(8), DEMAND, END_MS);
-            fleet.announce(OptionalDouble.of(limit));
+            fleet.scheduleRequests(evenShares(8), REQUESTS_PER_SECOND, END_MS);
+            fleet.setLimit(OptionalDouble.of(limit));
             fleet.scheduleAt(5_000, f -> f.partition(3, 20_000));
             fleet.runUntil(END_MS);
             long inPartition = arrivalCount(fleet, 8_000, 25_000);
--- a/masticweir/src/test/java/org/masticweir/permits/PermitIssuerTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitIssuerTest.java
@@ -14,7 +14,7 @@
     private static final PermitKey KEY =
             PermitKey.ofServer(ServerIncarnation.ofUnknownStart(EngineId.of("i-1")));
 
-    private static final SharedRate EIGHT = SharedRate.ofServer(8);
+    private static final SharedRate EIGHT_PER_SECOND = SharedRate.ofServer(8);
     private static final int URGENT = 0;
     private static final int LESS_URGENT = 3;
 
@@ -25,10 +25,10 @@
     }
 
     private PermitDecision request(String router, int urgency, long sinceMs, long nowMs) {
-        return issuer.request(RouterId.of(router), KEY, urgency, EIGHT, sinceMs, nowMs);
+        return issuer.decide(RouterId.of(router), KEY, urgency, EIGHT_PER_SECOND, sinceMs, nowMs);
     }
 
-    private int grantedAtOnce(long sinceMs, long nowMs) {
+    private int countGrantsAtOnce(long sinceMs, long nowMs) {
         int granted = 0;
         while (request("r1", URGENT, sinceMs, nowMs).isGranted()) {
             granted++;
@@ -38,28 +38,28 @@
 
     @Test
     void savesTokensOfAQuarterSecondAtMost() {
-        assertEquals(2, grantedAtOnce(0, 60_000));
-        assertEquals(0, grantedAtOnce(0, 60_050));
-        assertEquals(1, grantedAtOnce(0, 60_125));
+        assertEquals(2, countGrantsAtOnce(0, 60_000));
+        assertEquals(0, countGrantsAtOnce(0, 60_050));
+        assertEquals(1, countGrantsAtOnce(0, 60_125));
     }
 
     /** Otherwise permits that the previous issuer has just granted would be granted again. */
     @Test
     void grantsNoTokensFromBeforeItBecameTheIssuer() {
-        assertEquals(0, grantedAtOnce(10_000, 10_050));
-        assertEquals(1, grantedAtOnce(10_000, 10_130));
+        assertEquals(0, countGrantsAtOnce(10_000, 10_050));
+        assertEquals(1, countGrantsAtOnce(10_000, 10_130));
     }
 
     @Test
     void discardsTokensSavedWhileAnotherRouterMayHaveIssued() {
-        grantedAtOnce(0, 1_000);
-        assertEquals(0, grantedAtOnce(20_000, 20_050));
+        countGrantsAtOnce(0, 1_000);
+        assertEquals(0, countGrantsAtOnce(20_000, 20_050));
     }
 
     /** Otherwise less urgent lookups would take the tokens that bookings wait for. */
     @Test
     void leavesATokenForWaitingUrgentRequests() {
-        grantedAtOnce(0, 1_000);
+        countGrantsAtOnce(0, 1_000);
         assertFalse(request(URGENT, 1_050).isGranted());
         assertFalse(
                 request("r2", LESS_URGENT, 0, 1_130).isGranted(),
@@ -70,7 +70,7 @@
     /** Tokens that more urgent callers don't use must be granted to others. */
     @Test
     void grantsRemainingTokensToLessUrgentRequests() {
-        grantedAtOnce(0, 1_000);
+        countGrantsAtOnce(0, 1_000);
         assertFalse(request(URGENT, 1_050).isGranted());
         assertTrue(request("r2", LESS_URGENT, 0, 1_260).isGranted(), "two tokens, one for each");
         assertTrue(request(URGENT, 1_270).isGranted());
@@ -78,8 +78,8 @@
 
     @Test
     void countsUsesWithoutAPermit() {
-        grantedAtOnce(0, 1_000);
-        issuer.recordUsage(KEY, EIGHT, 0, 1_010);
+        countGrantsAtOnce(0, 1_000);
+        issuer.recordUsage(KEY, EIGHT_PER_SECOND, 0, 1_010);
         assertFalse(request(URGENT, 1_130).isGranted());
         assertTrue(request(URGENT, 1_260).isGranted());
     }
