--- a/masticweir/src/main/java/org/masticweir/forward/ContentPolicy.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ContentPolicy.java
@@ -3,11 +3,11 @@
 import java.util.OptionalLong;
 import org.masticweir.quarantine.SendRule;
 
-/** Decides before each send of one request whether its content may be sent. */
+/** Decides before each send of a request whether the content of the request may be sent. */
 public interface ContentPolicy {
     SendRule rule(long nowMs);
 
-    /** Returns the remaining time for which rejected content is not sent, in ms. */
+    /** Returns how long the content stays in quarantine, in ms; empty if it is not quarantined. */
     OptionalLong remainingQuarantineMs(long nowMs);
 
     /** Returns the policy of a request that may always be sent. */
--- a/masticweir/src/main/java/org/masticweir/forward/EngineReport.java
+++ b/masticweir/src/main/java/org/masticweir/forward/EngineReport.java
@@ -9,12 +9,13 @@
 import org.masticweir.catalog.ServerIncarnation;
 
 /**
- * An engine's report of its work, some hundred ms old; immutable.
+ * An engine's report of its requests; immutable. A report is some hundred ms old.
  *
  * @param running ids of the requests that have generated a token
- * @param admitted requests in its batch, including those in prefill
+ * @param admitted requests in the engine's batch, including requests in prefill
  * @param waiting requests that wait for a slot in the batch
- * @param startedMs Unix time of the engine's start, in ms, if it is reported
+ * @param startedMs Unix time of the engine's start, in ms; empty if the engine does not report the
+ *     time
  */
 public record EngineReport(Set<String> running, int admitted, int waiting, OptionalLong startedMs) {
     public EngineReport {
@@ -24,8 +25,8 @@
     }
 
     /**
-     * Returns whether the report may come from {@code incarnation}; a restarted engine has another
-     * start time.
+     * Returns whether {@code incarnation} may have sent this report: a restarted engine reports
+     * another start time.
      */
     public boolean isFrom(ServerIncarnation incarnation) {
         return startedMs.isEmpty()
@@ -33,7 +34,10 @@
                 || startedMs.getAsLong() == incarnation.startedMs();
     }
 
-    /** Returns whether the engine may still have a request that was sent long enough ago. */
+    /**
+     * Returns whether the engine may still have the request. The request must have been sent before
+     * the report was made.
+     */
     boolean mayHaveRequest(String requestId) {
         boolean isPrefilling = admitted > running.size();
         return waiting > 0 || isPrefilling || running.contains(requestId);
--- a/masticweir/src/main/java/org/masticweir/forward/HeldPermits.java
+++ b/masticweir/src/main/java/org/masticweir/forward/HeldPermits.java
@@ -7,11 +7,11 @@
 import org.masticweir.catalog.BackendServer;
 
 /**
- * Permits that one request holds until it is sent; owned by the traffic thread.
+ * Permits of one request until the request is sent; owned by the traffic thread.
  *
- * <p>A permit is valid for a short time and has to be requested again afterwards. Without this
- * limit, a waiting request could use its permit in a later window, for which the issuer has already
- * granted the full rate.
+ * <p>A permit expires after a short time; afterwards the request needs a new one. Without the
+ * expiry, a waiting request could use its permit in a later window, for which the issuer has
+ * already granted the full rate.
  */
 final class HeldPermits {
     /** Validity of a permit, in ms. */
@@ -21,7 +21,7 @@
     private long serverPermitExpiresMs;
     private OptionalLong retryPermitExpiresMs = OptionalLong.empty();
 
-    /** Expiry of the retry permit that the send in flight has used. */
+    /** Expiry of the retry permit that the send in flight has consumed. */
     private OptionalLong usedRetryPermitExpiresMs = OptionalLong.empty();
 
     /** Records the decision on a permit for a rate-limited server. */
@@ -45,14 +45,14 @@
         return retryPermitExpiresMs.isPresent() && nowMs < retryPermitExpiresMs.getAsLong();
     }
 
-    /** Uses up the permits for a send. */
+    /** Consumes the permits for a send. */
     void consume() {
         permittedServer = Optional.empty();
         usedRetryPermitExpiresMs = retryPermitExpiresMs;
         retryPermitExpiresMs = OptionalLong.empty();
     }
 
-    /** Restores the retry permit, because nothing of the send left this process. */
+    /** Restores the retry permit of a send that transmitted no data. */
     void restoreRetryPermit() {
         retryPermitExpiresMs = usedRetryPermitExpiresMs;
     }
--- a/masticweir/src/main/java/org/masticweir/forward/LoadEntry.java
+++ b/masticweir/src/main/java/org/masticweir/forward/LoadEntry.java
@@ -6,7 +6,7 @@
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.ServerIncarnation;
 
-/** Entry of one send in the {@link LoadTracker}, from the send to its end. */
+/** Load of one send in the {@link LoadTracker}, from the start of the send to its end. */
 public final class LoadEntry implements AutoCloseable {
     private final LoadTracker loads;
     private final ServerIncarnation server;
--- a/masticweir/src/main/java/org/masticweir/forward/LoadTracker.java
+++ b/masticweir/src/main/java/org/masticweir/forward/LoadTracker.java
@@ -12,14 +12,14 @@
 /**
  * Known load of each backend server; owned by the traffic thread.
  *
- * <p>There are three sources: the sends of this router, the loads that its peers report for their
- * own sends, and the request counts that servers report in their answers. Peers report totals, not
- * differences, so that the next report corrects a lost one.
+ * <p>The load has three sources: the sends of this router, the loads that peers report for their
+ * own sends, and the request counts in the answers of servers. Peers report totals instead of
+ * differences, so the next report corrects the effect of a lost report.
  */
 public final class LoadTracker {
     /**
-     * How long the request count reported by a server is used, in ms; after that its queue has
-     * changed.
+     * How long the request count of a server is used after its report, in ms. Later the server's
+     * queue has changed.
      */
     static final long REPORT_VALID_MS = 400;
 
@@ -57,17 +57,17 @@
     }
 
     /**
-     * Adds the {@code tokens} that a copy at {@code incarnation} may reach; negative once the copy
-     * is released.
+     * Adds the maximum number of tokens of a copy at {@code incarnation}; {@code tokens} is
+     * negative when the copy is released.
      */
     public void addCopyTokens(ServerIncarnation incarnation, long tokens) {
         updateOwnLoad(incarnation, trackedServer(incarnation).ownLoad.plusCopyTokens(tokens));
     }
 
-    /** Records how many requests a server reports in total. */
+    /** Records the total number of requests that a server reports. */
     public void recordServerReport(ServerIncarnation incarnation, int requestCount, long nowMs) {
         TrackedServer server = trackedServer(incarnation);
-        // Both figures still include the answered request.
+        // Both counts still include the answered request.
         server.reportedOtherRequests = Math.max(0, requestCount - server.ownLoad.running());
         server.reportedAtMs = nowMs;
     }
@@ -79,7 +79,9 @@
         updatePeerLoad(incarnation);
     }
 
-    /** Forgets the load of a peer that is unreachable, as it is no longer known. */
+    /**
+     * Removes the load reported by an unreachable peer: the current load of that peer is unknown.
+     */
     public void forgetPeer(RouterId peer) {
         Map<ServerIncarnation, ServerLoad> forgotten = peerLoads.remove(peer);
         if (forgotten != null) {
@@ -87,7 +89,7 @@
         }
     }
 
-    /** Forgets servers that are no longer listed and have no load of this router. */
+    /** Removes servers that are no longer listed and have no load from this router. */
     public void retainServers(Set<ServerIncarnation> listed) {
         servers.entrySet()
                 .removeIf(
@@ -97,21 +99,21 @@
         peerLoads.values().forEach(p -> p.keySet().retainAll(listed));
     }
 
-    /** Returns the load of all known routers at {@code incarnation}. */
+    /** Returns the load that all known routers together put on {@code incarnation}. */
     public ServerLoad totalLoad(ServerIncarnation incarnation) {
         TrackedServer server = servers.get(incarnation);
         return server == null ? ServerLoad.none() : server.ownLoad.plus(server.peerLoad);
     }
 
-    /** Returns the load of this router at {@code incarnation}. */
+    /** Returns the load that this router puts on {@code incarnation}. */
     public ServerLoad ownLoad(ServerIncarnation incarnation) {
         TrackedServer server = servers.get(incarnation);
         return server == null ? ServerLoad.none() : server.ownLoad;
     }
 
     /**
-     * Returns the number of requests at {@code incarnation}, from its own report and the sends
-     * since.
+     * Returns the number of requests at {@code incarnation}, based on the server's last report and
+     * this router's current sends.
      */
     public int requestCount(ServerIncarnation incarnation, long nowMs) {
         TrackedServer server = servers.get(incarnation);
@@ -123,7 +125,7 @@
         return server.ownLoad.running() + others;
     }
 
-    /** Returns the engines with load of this router. */
+    /** Returns the engines that have load from this router. */
     public Set<ServerIncarnation> loadedEngines() {
         Set<ServerIncarnation> loaded = new HashSet<>();
         servers.forEach(
@@ -135,7 +137,7 @@
         return loaded;
     }
 
-    /** Returns the engines whose load of this router has changed since the last call. */
+    /** Returns the engines whose load from this router has changed since the last call. */
     public Set<ServerIncarnation> drainChanged() {
         Set<ServerIncarnation> drained = Set.copyOf(changedEngines);
         changedEngines.clear();
--- a/masticweir/src/main/java/org/masticweir/forward/RequestParameters.java
+++ b/masticweir/src/main/java/org/masticweir/forward/RequestParameters.java
@@ -13,9 +13,10 @@
 /**
  * Immutable parameters of a request.
  *
- * @param engine set if the servers of the service are model engines
- * @param prompt part of the prompt that is not shared with requests of other callers
- * @param callerLastEventId last event that the caller already had when it sent the request
+ * @param engine specification of the service's engines; empty if its servers are not model engines
+ * @param prompt id of the part of the prompt that no other caller's request shares
+ * @param callerLastEventId last event that the caller had already received when the caller sent the
+ *     request
  * @param receivedMs time at which the request was received
  * @param expiresMs deadline set by the caller or the route
  */
@@ -38,14 +39,14 @@
     }
 
     /**
-     * Returns whether an engine may still have the prompt cached: the caller has events of an
-     * interrupted answer.
+     * Returns whether an engine may have the prompt cached: the caller has already received events
+     * of an interrupted answer.
      */
     boolean mayBeCached() {
         return callerLastEventId.isPresent() && engine.isPresent() && prompt.isPresent();
     }
 
-    /** Returns whether a copy of the run is useful. */
+    /** Returns whether an engine should store a copy of the run, from which the run can resume. */
     boolean needsCopy() {
         return route.repeatability() == Repeatability.RESUMABLE
                 && engine.isPresent()
--- a/masticweir/src/main/java/org/masticweir/forward/RequestSize.java
+++ b/masticweir/src/main/java/org/masticweir/forward/RequestSize.java
@@ -3,7 +3,7 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Cost of a request at an engine, in tokens; both 0 for requests to plain services. Immutable.
+ * Cost of a request at an engine, in tokens; immutable. Requests to plain services have the cost 0.
  *
  * @param prompt tokens to prefill
  * @param output maximum number of tokens to generate
@@ -20,7 +20,7 @@
         return NONE;
     }
 
-    /** Returns the tokens that the request holds in an engine's memory at its end. */
+    /** Returns the number of tokens in an engine's memory at the end of the request. */
     public long total() {
         return prompt + output;
     }
--- a/masticweir/src/main/java/org/masticweir/forward/RequestStateMachine.java
+++ b/masticweir/src/main/java/org/masticweir/forward/RequestStateMachine.java
@@ -19,27 +19,29 @@
 /**
  * State machine of one request, from its first send to its end; owned by the traffic thread.
  *
- * <p>Its owner reports the result of each send and carries out the returned {@link Step}. A request
+ * <p>The owner reports the result of each send and executes the returned {@link Step}. A request
  * that must not run twice is not retried once it may have run. A resumable request continues after
- * the last event that the caller has received, at the server that holds its copy if there is one.
+ * the last event that the caller has received, at the copy holder if there is one.
  */
 public final class RequestStateMachine {
-    /** Delay before servers are selected again, in ms: a tenth of the work of a short request. */
+    /** Delay until the next server selection, in ms: a tenth of the run time of a short request. */
     private static final long WAIT_MS = 10;
 
     /** Delay before the retry budget is checked again, in ms: a tenth of its window's 1 s step. */
     private static final long RETRY_BUDGET_WAIT_MS = 100;
 
     /**
-     * Fraction of the time goal after which an idempotent request is hedged. The remaining time is
-     * enough for the median of the work, and 99 of 100 answers arrive earlier.
+     * Fraction of the time goal after which an idempotent request is hedged. The remaining time
+     * exceeds the median run time, and 99 of 100 answers arrive before the hedge.
      */
     private static final double HEDGE_FRACTION = 0.7;
 
-    /** Divisor of the time goal: the shortest time after which a refused caller may retry. */
+    /**
+     * Divisor of the time goal that gives the minimum time after which a refused caller may retry.
+     */
     private static final int RETRY_AFTER_DIVISOR = 4;
 
-    /** Number of stages of a request that differ in urgency. */
+    /** Number of urgency levels within one route priority. */
     private static final int URGENCY_STAGES = 3;
 
     private final RequestParameters request;
@@ -56,7 +58,9 @@
     private int sendCount;
     private int transmissions;
 
-    /** Time at which the send in flight was counted as a retry; empty if it was not counted. */
+    /**
+     * Time at which the retry budget counted the send in flight; empty if the send was not counted.
+     */
     private OptionalLong retryCountedMs = OptionalLong.empty();
 
     private boolean isRequestCounted;
@@ -68,7 +72,7 @@
     private Optional<BackendServer> cachingEngine = Optional.empty();
     private boolean hasQueriedCaches;
 
-    /** Whether servers ended while they ran the same content. */
+    /** Whether the content is suspected: servers ended while they ran the same content. */
     private boolean mustUseLeastLoaded;
 
     private RequestStateMachine(
@@ -110,9 +114,10 @@
     }
 
     /**
-     * Returns the first step, and the next one after a {@link Step.Wait}.
+     * Returns the first step of the request, or the step after a {@link Step.Wait}.
      *
-     * <p>If a caller returns for the rest of an answer, engines are queried for its prompt first.
+     * <p>If the caller requests the rest of an interrupted answer, engines are queried for the
+     * cached prompt first.
      */
     public Step next(long nowMs) {
         if (nowMs >= request.expiresMs()) {
@@ -124,7 +129,7 @@
         if (sendCount >= request.route().attempts()) {
             return end(ErrorCode.ENGINE_LOST, "sent as often as the route allows");
         }
-        // Checked before every send: other submissions may have ended servers since the last one.
+        // Checked before every send: the same content may have ended servers since the last send.
         SendRule rule = contentPolicy.rule(nowMs);
         if (rule == SendRule.REJECT) {
             return endInQuarantine(nowMs);
@@ -169,10 +174,10 @@
     }
 
     /**
-     * Returns whether the selected server may still be sent the request after the connect.
+     * Returns whether the request may still be sent to the selected server after the connect.
      *
-     * <p>Prevents a server that announces its leaving during the connect from receiving the request
-     * long after its announcement.
+     * <p>A server may announce that it is leaving during the connect. Without this check, the
+     * server would receive the request long after the announcement.
      */
     public boolean mayStillSend(BackendServer server, long nowMs) {
         return findListed(server).filter(s -> selector.mayStillAccept(s, nowMs)).isPresent();
@@ -190,20 +195,20 @@
         return granted ? next(nowMs) : waitForRetryBudget(nowMs);
     }
 
-    /** Handles the engine with the cached prompt, if one reported it, and returns the next step. */
+    /** Handles the result of the prompt cache query and returns the next step. */
     public Step onPromptCacheResult(Optional<BackendServer> engine, long nowMs) {
         cachingEngine = checkNotNull(engine, "engine");
         return next(nowMs);
     }
 
-    /** Handles a failed connect and returns the next step; nothing has left this process. */
+    /** Handles a failed connect, which transmits no data, and returns the next step. */
     public Step onConnectFailed(BackendServer server, long nowMs) {
         onSendAborted(nowMs);
         health.recordFailure(server, nowMs);
         return next(nowMs);
     }
 
-    /** Aborts the send in flight before any part of it has left this process. */
+    /** Aborts the send in flight before any data was transmitted. */
     public void onSendAborted(long nowMs) {
         sendCount--;
         transmissions--;
@@ -230,8 +235,8 @@
     }
 
     /**
-     * Returns the next step, a send or the request for a permit, if the error answer of a server
-     * may be replaced by a retry.
+     * Returns a send or a permit request if a retry may replace the error answer of a server;
+     * otherwise empty.
      */
     public Optional<Step> onErrorAnswer(long nowMs) {
         markMayHaveRun();
@@ -247,8 +252,8 @@
     }
 
     /**
-     * Returns how long to wait for the complete answer before {@link #onSlowAnswer} may select a
-     * better server.
+     * Returns the time until {@link #onSlowAnswer} should be called if the answer is incomplete;
+     * empty if the request can't be hedged.
      */
     public OptionalLong hedgeDelayMs() {
         boolean canHedge =
@@ -260,12 +265,12 @@
     }
 
     /**
-     * Returns the hedged request that replaces the unanswered send in flight, or the request for
-     * its retry permit. The send in flight is abandoned only for another send.
+     * Returns a hedged request that replaces the send in flight, or the request for its retry
+     * permit; empty if the send in flight continues.
      *
-     * <p>Prevents the caller from waiting for its whole timeout if a server hangs, or runs a
-     * request whose answer is lost without a sign. Only a server with free slots is used, so that
-     * nothing is sent twice during overload, when all servers are slow.
+     * <p>Without this, the caller waits for its whole timeout if a server hangs or an answer is
+     * lost without a connection error. Only a server with free slots is used, so that no request is
+     * sent twice during overload, when all servers are slow.
      */
     public Optional<Step> onSlowAnswer(long nowMs) {
         boolean hasFreeServer =
@@ -289,17 +294,19 @@
         return lastEventId;
     }
 
-    /** Returns how the request ends at its deadline. */
+    /** Returns the final step of a request whose deadline has passed. */
     public Step.End endAtDeadline() {
         return endNow(ErrorCode.OVERLOADED, ErrorCode.DEADLINE_EXCEEDED, "its time is over");
     }
 
-    /** Returns how the request ends when the process of its router ends. */
+    /** Returns the final step of a request whose router shuts down. */
     public Step.End endAtShutdown() {
         return endNow(ErrorCode.SHUTTING_DOWN, ErrorCode.ENGINE_LOST, "this router ends");
     }
 
-    /** Ends the request in any state; the error code depends on whether it may have run. */
+    /**
+     * Ends the request in any state; the error code depends on whether the request may have run.
+     */
     private Step.End endNow(ErrorCode notRun, ErrorCode mayHaveRun, String reason) {
         Verdict known = verdict();
         ErrorCode code = known.safeToSendAgain() ? notRun : mayHaveRun;
@@ -315,14 +322,17 @@
         return sendCount;
     }
 
-    /** Handles the answer of another server at the address: the selected server is gone. */
+    /**
+     * Handles the answer of a different server at the selected server's address: the selected
+     * server is gone.
+     */
     public Step onWrongServer(BackendServer server, long nowMs) {
         sendCount--;
         health.recordServerGone(server);
         return onRefused(nowMs);
     }
 
-    /** Records that the request did not run, and so left no copy. */
+    /** Records that the last send did not run and therefore has no copy. */
     private void markNotRun() {
         isInFlight = false;
         copyHolder = Optional.empty();
@@ -361,7 +371,10 @@
         return new Step.Send(server, copyHolder, resumesFromCopy, lastEventId);
     }
 
-    /** Returns the copy holder if it can be used. A run has no copy before its first event. */
+    /**
+     * Returns the copy holder if the run can resume there. A run has no copy before its first
+     * event.
+     */
     private Optional<BackendServer> usableCopyHolder(long nowMs) {
         if (!hasEvent) {
             return Optional.empty();
@@ -372,7 +385,9 @@
                 .flatMap(this::findListed);
     }
 
-    /** Returns the current entry of a server; empty if its incarnation has ended. */
+    /**
+     * Returns the current entry of a server; empty if the server's incarnation is no longer listed.
+     */
     private Optional<BackendServer> findListed(BackendServer server) {
         return servers.get().stream()
                 .filter(s -> s.incarnation().equals(server.incarnation()))
@@ -389,10 +404,10 @@
     }
 
     /**
-     * Returns the best untried server, or for a resumable stream a tried one if no other is left.
+     * Returns the best untried server. If none is left, a resumable stream may use a tried server.
      *
-     * <p>Prevents the following fault: a domain that is cut off has two engines, both stall for a
-     * moment under one stream, and the stream waits until its deadline although both engines run.
+     * <p>Without this, a stream in a partitioned domain with two engines waits until its deadline
+     * if both engines have stalled for a moment, although both run again.
      */
     private Optional<BackendServer> selectServer(long nowMs) {
         Optional<BackendServer> untried = selectExcluding(triedServers, nowMs);
@@ -408,15 +423,15 @@
     }
 
     /**
-     * Returns the urgency of this request among those that need a permit: first by the priority of
-     * its route, then continued answers, unsent requests and retries in this order.
+     * Returns the urgency of this request among those that need a permit: ordered by route
+     * priority, then continued answers, unsent requests and retries.
      */
     private int urgency() {
         int stage = hasEvent ? 0 : sendCount == 0 ? 1 : 2;
         return request.route().priority() * URGENCY_STAGES + stage;
     }
 
-    /** Returns the end of a request whose content is not sent to servers any more. */
+    /** Returns the final step of a request whose content is in quarantine. */
     public Step.End endInQuarantine(long nowMs) {
         boolean notRun = verdict().safeToSendAgain();
         return new Step.End(
@@ -426,7 +441,10 @@
                 "servers ended under this content");
     }
 
-    /** Waits for the trial of the content, but no longer than a request waits for a free server. */
+    /**
+     * Waits for the trial, a single send that tests suspected content, at most as long as for a
+     * free server.
+     */
     private Step waitForTrial(long nowMs) {
         return hasEvent || !requestWait.hasTimedOut(nowMs)
                 ? new Step.Wait(WAIT_MS)
@@ -437,8 +455,8 @@
 
     /**
      * Waits for a server, or ends the request. A short wait is useful, as a full or lost server is
-     * soon replaced. A request whose service has no server is refused at once: waiting can't help
-     * it. A request with a partly delivered answer waits for as long as its caller.
+     * soon replaced. A request for a service without servers is refused at once. A request with a
+     * partly delivered answer waits until its deadline.
      */
     private Step waitOrEnd(long nowMs) {
         if (hasEvent) {
@@ -467,10 +485,11 @@
     }
 
     /**
-     * Lets a stream wait for the retry budget while it is still useful; ends any other request.
+     * Delays a stream without retry budget while its result is still useful; ends any other
+     * request.
      *
      * <p>If several domains fail within seconds, each of a router's streams is retried. The budget
-     * is available again a second later, whereas the prefill of a stream that ends now was wasted.
+     * is available again a second later, whereas ending a stream now wastes its prefill.
      */
     private Step waitForRetryBudget(long nowMs) {
         boolean isResumable = request.route().repeatability() == Repeatability.RESUMABLE;
--- a/masticweir/src/main/java/org/masticweir/forward/RequestWait.java
+++ b/masticweir/src/main/java/org/masticweir/forward/RequestWait.java
@@ -5,11 +5,12 @@
 import java.util.Optional;
 
 /**
- * Waiting of one request for a server, and the reasons to refuse it; owned by the traffic thread.
+ * Wait of one request for a server; owned by the traffic thread. Refuses the request if the wait is
+ * useless.
  *
- * <p>Unsent requests for engines wait in a {@link WaitQueue}. All others check for a server on
- * their own: plain requests because they wait only briefly, and retries because each has other
- * servers left to try.
+ * <p>Unsent requests for engines wait in a {@link WaitQueue}. Plain requests check for a server
+ * without the queue, because they wait only briefly. Retries do the same, because each retry has a
+ * different set of untried servers.
  */
 final class RequestWait implements AutoCloseable {
     /** Divisor of the time goal that gives how long a plain request waits before it is refused. */
@@ -32,7 +33,8 @@
     }
 
     /**
-     * Returns whether other requests must be served first, even if a server could accept this one.
+     * Returns whether other requests must be sent before this request, even if a server could
+     * accept this request.
      */
     boolean mustWait(int sendCount, long nowMs) {
         if (!usesQueue(sendCount)) {
@@ -44,7 +46,7 @@
     }
 
     /**
-     * Adds the request to the queue if it belongs there, or returns why waiting can't help.
+     * Adds an unsent engine request to the queue, or returns the reason to refuse the request.
      *
      * @param runningRequests requests of this router that run at the servers of the service
      */
@@ -53,7 +55,7 @@
             return Optional.of("no server is free");
         }
         if (usesQueue(sendCount) && queueEntry.isEmpty()) {
-            // A run lasts about as long as the goal of its first event, or longer.
+            // A run lasts at least about as long as the time goal of the first event.
             long runMs = request.route().goalMs();
             if (countAhead(nowMs) >= WaitQueue.capacity(runningRequests, maxWaitMs(), runMs)) {
                 return Optional.of("too many wait");
--- a/masticweir/src/main/java/org/masticweir/forward/ServerHealth.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServerHealth.java
@@ -17,35 +17,36 @@
  * Observed health of the backend servers; owned by the traffic thread.
  *
  * <p>The servers of a domain may be lost together, while the instance list contains them for
- * seconds more. They are idle then, so selection by load alone would send everything to them, one
- * after the other, and place copies on servers that no longer exist. If two servers of a service
- * and domain fail at one moment, all of its servers there are therefore suspect, apart from those
- * that answer afterwards. Routers report failures to each other, as each sees only a few of them.
+ * seconds more. Lost servers look idle, so selection by load alone would try one lost server after
+ * the other, and would place copies on servers that no longer exist. If two servers of a service
+ * fail in a domain within a short time, all servers of the service in that domain are therefore
+ * suspect until they answer. Routers report failures to each other, because each router observes
+ * only a few failures.
  */
 public final class ServerHealth {
     /** How long a server is excluded after its first failure, in ms. */
     static final long FIRST_DOWN_MS = 300;
 
     /**
-     * Longest exclusion after a failure, in ms: a recovered server must not stay idle for seconds.
+     * Maximum exclusion after a failure, in ms: a recovered server must not stay idle for seconds.
      */
     static final long MAX_DOWN_MS = 1_200;
 
     private static final int MAX_DOUBLINGS = 2;
 
-    /** Failures of two servers within this time have a common cause, in ms. */
+    /** Time within which failures of two servers are attributed to a common cause, in ms. */
     static final long COMMON_CAUSE_WINDOW_MS = 250;
 
     /** How long the servers of a suspect domain are excluded, in ms. */
     static final long DOMAIN_DOWN_MS = 1_000;
 
     /**
-     * How long a failed server is deprioritized, in ms: until its entry has lapsed, which takes
-     * three of its heartbeats.
+     * How long a failed server is deprioritized, in ms. The entry of a lost server expires within
+     * this time, after three missed heartbeats.
      */
     static final long RECENT_FAILURE_MS = 5_000;
 
-    /** How long a server is deprioritized after the first refusal in a row, in ms. */
+    /** How long a server is deprioritized after the first of consecutive refusals, in ms. */
     static final long FIRST_DEPRIORITIZED_MS = 300;
 
     private static final int MAX_REFUSAL_DOUBLINGS = 4;
@@ -115,8 +116,8 @@
     /**
      * Records a refusal and returns how long the server is deprioritized, in ms.
      *
-     * <p>A server that refuses every request at once is idle, so selection by load alone would send
-     * it more requests than any other server.
+     * <p>A server that immediately refuses every request looks idle. Selection by load alone would
+     * prefer this server to all others.
      */
     public long recordRefusal(ServerIncarnation incarnation, long nowMs) {
         ServerState state = serverState(incarnation);
@@ -164,7 +165,7 @@
                 || hasRecentlyFailed(server, nowMs);
     }
 
-    /** Returns whether a server may have ended and should not hold copies. */
+    /** Returns whether a server may have ended. Copies should not be placed on such a server. */
     public boolean hasRecentlyFailed(BackendServer server, long nowMs) {
         ServerState state = serverStates.get(server.incarnation());
         if (state != null && (state.isGone || nowMs - state.lastFailureMs < RECENT_FAILURE_MS)) {
@@ -177,8 +178,8 @@
     }
 
     /**
-     * Returns the servers whose failure this router observed since the last call, and whether each
-     * of them is gone.
+     * Returns the servers whose failure this router observed since the last call. The value is true
+     * if the server is gone.
      */
     public Map<ServerIncarnation, Boolean> drainFailureReports() {
         Map<ServerIncarnation, Boolean> drained = pendingReports;
@@ -186,7 +187,7 @@
         return drained;
     }
 
-    /** Adds incarnations that are new in the list and forgets those that are not listed. */
+    /** Adds newly listed incarnations and removes incarnations that are no longer listed. */
     public void updateListed(Set<ServerIncarnation> listed, long nowMs) {
         serverStates.keySet().retainAll(listed);
         for (ServerIncarnation incarnation : listed) {
@@ -221,8 +222,8 @@
     }
 
     /**
-     * Returns whether the suspicion applies: not to a server that has answered since, nor to an
-     * incarnation that was listed since.
+     * Returns whether the suspicion applies to a server. A server that answered or was first listed
+     * after the suspicion is not suspect.
      */
     private static boolean isSuspect(ServerState state, Suspicion suspicion) {
         return state != null
--- a/masticweir/src/main/java/org/masticweir/forward/ServerLoad.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServerLoad.java
@@ -3,12 +3,13 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Load of one router at one backend server; immutable.
+ * Load that one router puts on one backend server; immutable.
  *
  * @param running requests that were sent and have not ended
- * @param prefills of these, the ones in prefill
+ * @param prefills number of running requests that are in prefill
  * @param prefillTokens prompt tokens of the requests in prefill
- * @param memoryTokens tokens that its requests and the copies of its requests may reach in memory
+ * @param memoryTokens maximum number of tokens in the server's memory for the router's requests and
+ *     their copies
  */
 public record ServerLoad(int running, int prefills, long prefillTokens, long memoryTokens) {
     private static final ServerLoad NONE = new ServerLoad(0, 0, 0, 0);
--- a/masticweir/src/main/java/org/masticweir/forward/ServerNotices.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServerNotices.java
@@ -8,17 +8,14 @@
 import java.util.Set;
 import org.masticweir.catalog.ServerIncarnation;
 
-/**
- * Notices that servers send to this router in their answers: that they are leaving, or pause for a
- * while; owned by the traffic thread.
- */
+/** Leaving and pause notices from the answers of servers; owned by the traffic thread. */
 public final class ServerNotices {
     /** Longest accepted pause, in ms. */
     static final long MAX_PAUSE_MS = 3_600_000;
 
     /**
-     * How long a leaving server that is not listed is remembered, in ms: its entry may lapse while
-     * the store is unavailable, and return unchanged.
+     * How long an unlisted leaving server is remembered, in ms. The server's entry may expire while
+     * the store is unavailable, and reappear unchanged afterwards.
      */
     static final long MAX_ABSENCE_MS = 60_000;
 
@@ -34,17 +31,17 @@
     }
 
     /**
-     * Records that a server is leaving, which holds for the rest of its incarnation; returns
-     * whether this is new.
+     * Records that an incarnation of a server is leaving; returns whether the notice is new. A
+     * leaving incarnation never returns to service.
      */
     public boolean recordLeaving(ServerIncarnation server, long nowMs) {
         return leavingLastListedMs.put(checkNotNull(server, "server"), nowMs) == null;
     }
 
     /**
-     * Records that a server pauses for {@code ms}; returns whether this starts a pause.
+     * Records that a server pauses for {@code ms}; returns whether a new pause starts.
      *
-     * <p>Answers may overtake each other, so a shorter pause does not end a longer one.
+     * <p>Answers may arrive out of order, so a shorter pause does not shorten a recorded pause.
      */
     public boolean recordPause(ServerIncarnation server, long ms, long nowMs) {
         checkArgument(ms >= 0, "pause of %s ms", ms);
@@ -54,7 +51,10 @@
         return isNew;
     }
 
-    /** Updates the listed servers, and forgets leaving servers that were not listed for long. */
+    /**
+     * Updates the listed servers, and removes leaving servers that were unlisted for more than
+     * {@link #MAX_ABSENCE_MS}.
+     */
     public void updateListed(Set<ServerIncarnation> listed, long nowMs) {
         leavingLastListedMs.replaceAll(
                 (server, lastListedMs) -> listed.contains(server) ? nowMs : lastListedMs);
@@ -63,12 +63,12 @@
                 .removeIf(lastListedMs -> nowMs - lastListedMs > MAX_ABSENCE_MS);
     }
 
-    /** Returns whether a server has announced that it is leaving; usually none has. */
+    /** Returns whether a server has announced that it is leaving. */
     public boolean isLeaving(ServerIncarnation server) {
         return !leavingLastListedMs.isEmpty() && leavingLastListedMs.containsKey(server);
     }
 
-    /** Returns the remaining pause of a server, in ms; usually no server pauses, and it is 0. */
+    /** Returns the remaining pause of a server, in ms; 0 if the server does not pause. */
     public long remainingPauseMs(ServerIncarnation server, long nowMs) {
         if (pausedUntilMs.isEmpty()) {
             return 0;
--- a/masticweir/src/main/java/org/masticweir/forward/ServerSelector.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServerSelector.java
@@ -16,26 +16,27 @@
 import org.masticweir.permits.ServerLimits;
 
 /**
- * Selects the server of a request and the holder of its copy; owned by the traffic thread.
+ * Selects the server of a request and the copy holder of its run; owned by the traffic thread.
  *
- * <p>The ranking is made for long prompts. An engine runs prefills between the decode steps of its
- * other requests, so two concurrent prefills at one engine may delay all its streams beyond their
- * goal while other engines are idle. Engines are therefore ranked by the prefill tokens that all
- * routers report as pending, and only then by the number of running requests.
+ * <p>The ranking is designed for long prompts. An engine runs prefills between the decode steps of
+ * its other requests, so two concurrent prefills at one engine may delay all its streams beyond
+ * their goal while other engines are idle. Engines are therefore ranked mainly by the pending
+ * prefill tokens of all routers, and secondarily by the number of running requests.
  */
 public final class ServerSelector {
     /**
-     * Weight of a running request, in prefill tokens. Each request makes a decode step about 3 in
-     * 100 longer; a prompt's chunk of 200 tokens makes it 8 times as long.
+     * Weight of a running request, in prefill tokens. Each running request lengthens a decode step
+     * by about 3 %; a prompt chunk of 200 tokens makes the step 8 times as long.
      */
     private static final long TOKENS_PER_REQUEST = 2_000;
 
     /**
      * Weight of another failure domain, in prefill tokens: one long prompt in prefill, or four
-     * running requests. A domain that is cut off keeps the streams whose router and engine are both
-     * in it; each other stream needs a new prefill and resumes seconds late. Sharing an engine with
-     * three running requests costs a tenth of a step's length, so streams stay in their own domain
-     * until each engine there runs a prefill or has far more requests than others.
+     * running requests. In a partitioned domain, streams continue if their router and engine are
+     * both in the domain; other streams need a new prefill and resume seconds late. Three more
+     * running requests at an engine lengthen a decode step by only a tenth, so streams stay in
+     * their own domain until each engine there runs a prefill or has far more requests than engines
+     * elsewhere.
      */
     private static final long OTHER_DOMAIN_TOKENS = 8_000;
 
@@ -43,8 +44,8 @@
     private static final double OTHER_DOMAIN_SLOT_FRACTION = 0.2;
 
     /**
-     * Weight of a copy holder outside the own domain for a run outside the own domain, as a
-     * fraction of an engine's memory: any engine in the own domain that can hold the copy is
+     * Weight of a copy holder in another domain if the run is in another domain too, as a fraction
+     * of an engine's memory. With this weight, any engine in the own domain with enough memory is
      * preferred.
      */
     private static final double OTHER_DOMAIN_MEMORY_FRACTION = 1;
@@ -67,24 +68,24 @@
     private static final double RATE_LIMITED_SLOT_FRACTION = 0.5;
 
     /**
-     * Maximum number of concurrent prefills of an engine. It processes a part of each prompt
+     * Maximum number of concurrent prefills of an engine. An engine processes a part of each prompt
      * between two decode steps. Two prefills make the pauses of all its streams six tenths of the
-     * longest pause within the goal (430 of 700 ms), three make them nine tenths, and four break
-     * the goal of every stream there. In a burst, a third prompt waits for the end of another
-     * prefill instead and is processed as soon.
+     * longest pause within the goal (430 of 700 ms), three prefills make the pauses nine tenths,
+     * and four exceed the goal of every stream there. In a burst, a third prompt waits for the end
+     * of another prefill and is completed equally early.
      */
     private static final int MAX_PREFILLS = 2;
 
     /**
-     * Ranks that differ by less are equal, and one of them is drawn at random, so that routers
-     * don't all select the same server.
+     * Ranks that differ by at most this value count as equal. Servers of equal rank are selected at
+     * random, so that routers don't all select the same server.
      */
     private static final double RANK_TOLERANCE = 0.05;
 
     /**
-     * Maximum number of engines queried for one prompt, starting with the own domain, where most
-     * streams run. A query costs an engine less than a hundredth of the prefill of a long prompt,
-     * so even the last query pays off if one prompt in four is found.
+     * Maximum number of engines queried for one prompt. The engines of the own domain, where most
+     * streams run, are queried first. A query costs an engine less than a hundredth of the prefill
+     * of a long prompt, so even the last query pays off if one prompt in four is found.
      */
     static final int MAX_QUERIED_ENGINES = 24;
 
@@ -120,7 +121,7 @@
         return new ServerSelector(loads, health, notices, limits, ownDomain, random);
     }
 
-    /** Returns the best of {@code servers} for a request, if one can accept it. */
+    /** Returns the best of {@code servers} that can accept a request; empty if there is none. */
     Optional<BackendServer> select(
             ImmutableList<BackendServer> servers,
             RequestSize size,
@@ -132,10 +133,10 @@
     }
 
     /**
-     * Returns the server with the fewest requests of those that can accept a request.
+     * Returns the server with the fewest requests among {@code servers} that can accept a request.
      *
-     * <p>Servers ended while they ran the content of this request. If it ends the next one too, few
-     * other requests are lost with it.
+     * <p>Used for content that has ended servers. If the content also ends the selected server, few
+     * other requests are lost.
      */
     Optional<BackendServer> selectLeastLoaded(
             ImmutableList<BackendServer> servers,
@@ -173,10 +174,10 @@
     /**
      * Returns the engines to query for a prompt that one of them may have cached, best first.
      *
-     * <p>When routers are lost, all their callers return to other routers at once, and no router
-     * knows where those streams ran. If the streams were placed by load alone, nearly every prompt
-     * would be processed a second time, which costs a second of an engine's time, while the first
-     * engine still has it cached.
+     * <p>When routers are lost, all their callers retry at other routers at once, and no router has
+     * stored where those streams ran. If the streams were placed by load alone, nearly every prompt
+     * would need a second prefill, which costs a second of an engine's time, although the first
+     * engine still has the prompt cached.
      */
     ImmutableList<BackendServer> enginesToQuery(
             ImmutableList<BackendServer> servers, RequestSize size, EngineSpec engine, long nowMs) {
@@ -197,8 +198,8 @@
     }
 
     /**
-     * Returns how long a server accepts no requests of this router, in ms; 0 if it accepts them
-     * now.
+     * Returns the remaining time of a server's pause or rate limit block, in ms; 0 if there is
+     * neither.
      */
     long remainingBlockMs(BackendServer server, long nowMs) {
         return Math.max(
@@ -211,7 +212,10 @@
         return server.leaving() || notices.isLeaving(server.incarnation());
     }
 
-    /** Returns whether a server that was selected some time ago may still be sent the request. */
+    /**
+     * Returns whether the request may still be sent to a server that was selected before the
+     * connect.
+     */
     boolean mayStillAccept(BackendServer server, long nowMs) {
         return !isLeaving(server) && notices.remainingPauseMs(server.incarnation(), nowMs) == 0;
     }
@@ -222,8 +226,8 @@
     }
 
     /**
-     * Returns the time until the first of {@code servers} may accept a request, in ms, if all
-     * untried servers that are not leaving are blocked; empty if one of them is not blocked.
+     * Returns the time until the first untried server is unblocked, in ms; empty if an untried
+     * server is not blocked. Leaving servers are ignored.
      */
     OptionalLong timeUntilUnblockedMs(
             ImmutableList<BackendServer> servers, Set<ServerIncarnation> triedServers, long nowMs) {
@@ -246,17 +250,17 @@
         return servers.stream().mapToInt(s -> loads.ownLoad(s.incarnation()).running()).sum();
     }
 
-    /** Returns whether {@code server} would process a plain request at once. */
+    /** Returns whether {@code server} has a free slot for a plain request. */
     boolean hasFreeSlot(BackendServer server, long nowMs) {
         return loads.requestCount(server.incarnation(), nowMs) < server.slots();
     }
 
     /**
-     * Returns the server that should hold a copy of a run at {@code runningEngine}.
+     * Returns the server that should store the copy of a run at {@code runningEngine}.
      *
-     * <p>A failure domain loses its engines together, so a copy in the domain of the run would be
-     * lost with it. A domain that is cut off loses its runs in other domains, and can resume them
-     * only from a copy in its own domain.
+     * <p>The engines of a failure domain may be lost together, so the copy must be in another
+     * domain than the run. The routers of a partitioned domain lose their runs in other domains,
+     * and can resume these runs only from copies in the own domain.
      */
     Optional<BackendServer> selectCopyHolder(
             ImmutableList<BackendServer> servers,
@@ -326,7 +330,10 @@
                 / engine.memoryTokens();
     }
 
-    /** Keeps the server with the lowest rank; servers of equal rank are equally likely. */
+    /**
+     * Finds the server with the lowest rank. If several servers have equal rank, each is selected
+     * with equal probability.
+     */
     private final class Ranking {
         private Optional<BackendServer> bestServer = Optional.empty();
         private double bestRank;
--- a/masticweir/src/main/java/org/masticweir/forward/ServiceRetryBudgets.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServiceRetryBudgets.java
@@ -12,15 +12,18 @@
 import org.masticweir.retry.RetryBudget;
 
 /**
- * Retry budgets of the services, which all routers share, as applied by this router; owned by the
+ * This router's part of the retry budgets that all routers share for each service; owned by the
  * traffic thread.
  *
  * <p>If servers refuse or fail and each refusal is retried, the retries sustain the overload. The
- * shared budget is a share of the requests plus an allowance. A router may use the share of the
- * requests that it has received itself; for the allowance it needs a permit for each retry.
+ * shared budget is a share of the requests plus an allowance. A router may use the share of its own
+ * requests without permits. Each retry from the allowance needs a permit.
  */
 public final class ServiceRetryBudgets implements RetryLimiter {
-    /** Fraction of the share that is used, because the windows of routers don't start together. */
+    /**
+     * Fraction of the share that is used. The rest is a margin, because the windows of routers
+     * don't start together.
+     */
     private static final double USED_FRACTION = 0.8;
 
     private static final TeamId ALL_TEAMS = TeamId.of("all");
@@ -44,7 +47,7 @@
         return retryBudgets;
     }
 
-    /** Updates the shared budget; if the share changes, earlier sends are forgotten. */
+    /** Updates the shared budget; a changed share resets the counts of earlier sends. */
     public void update(double sharedShare, double sharedAllowance) {
         checkArgument(sharedAllowance >= 0, "allowance %s", sharedAllowance);
         double ownShare = sharedShare * USED_FRACTION;
@@ -63,7 +66,7 @@
         return allowance;
     }
 
-    /** Suspends the permits for {@code service}: none is available before {@code untilMs}. */
+    /** Suspends permit requests for {@code service} until {@code untilMs}. */
     public void suspendPermits(ServiceName service, long untilMs) {
         permitsSuspendedUntilMs.put(service, untilMs);
     }
--- a/masticweir/src/main/java/org/masticweir/forward/SilenceTimeouts.java
+++ b/masticweir/src/main/java/org/masticweir/forward/SilenceTimeouts.java
@@ -1,13 +1,13 @@
 package org.masticweir.forward;
 
 /**
- * Timeouts after which a silent engine is probed or its stream is moved; owned by the traffic
+ * Timeouts after which a router probes a silent engine or moves the stream; owned by the traffic
  * thread.
  *
- * <p>An engine, or all engines of a domain, may stop responding without a reset, which only silence
- * shows. A pause that is mistaken for a loss costs the few tokens that the copy lacks; a loss that
- * is mistaken for a pause costs the stream its time goal. The timeout between events is therefore
- * short, and grows only with the number of prefills known to be in progress at that engine.
+ * <p>An engine, or all engines of a domain, may stop responding without a connection reset, so only
+ * a timeout detects the loss. Moving a stream during a mere pause costs only the few tokens that
+ * the copy lacks. Waiting for a lost engine costs the stream its time goal. The timeout between
+ * events is therefore short, and grows only with the number of known prefills at the engine.
  */
 public final class SilenceTimeouts {
     /** Fraction of the longest pause within the goal after which an engine counts as lost. */
@@ -16,17 +16,18 @@
     /** Increase of {@link #GAP_FRACTION} for each prefill in progress. */
     private static final double GAP_FRACTION_PER_PREFILL = 0.08;
 
-    /** Largest fraction: the rest is needed to resume elsewhere. */
+    /** Maximum of the increased fraction: the rest of the time is needed to resume elsewhere. */
     private static final double MAX_GAP_FRACTION = 0.7;
 
-    /** Timeout between events if the route declares no longest pause, in ms. */
+    /** Timeout between events for a route without a goal for the longest pause, in ms. */
     private static final long DEFAULT_TIMEOUT_MS = 2_000;
 
     /** Multiple of the expected prefill time after which an engine is probed. */
     private static final double PREFILL_MARGIN = 1.3;
 
     /**
-     * Time in addition to the prefill, in ms: transport, the step of the queue and the first event.
+     * Time in addition to the prefill, in ms: transport, one queue step and generation of the first
+     * event.
      */
     private static final long FIRST_EVENT_OVERHEAD_MS = 250;
 
@@ -37,8 +38,8 @@
     private static final int MIN_OBSERVATIONS = 5;
 
     /**
-     * Smallest fraction of the estimate that an observation counts as. A prompt cached in the
-     * engine's memory needs almost no prefill and does not predict the time of the next one.
+     * Lower bound of an observation, as a fraction of the estimate. A prompt cached in the engine's
+     * memory needs almost no prefill and does not predict the time of the next one.
      */
     private static final double MIN_OBSERVED_FRACTION = 0.7;
 
@@ -55,8 +56,8 @@
     }
 
     /**
-     * Records a prefill that took {@code ms} with {@code tokens} in prefill at the engine, its own
-     * included.
+     * Records a prefill that took {@code ms}. {@code tokens} counts all tokens in prefill at the
+     * engine at the time of the send.
      */
     public void recordPrefill(long tokens, long ms) {
         if (tokens <= 0 || ms <= 0) {
@@ -73,7 +74,7 @@
     /**
      * Returns the timeout between two events, in ms.
      *
-     * @param gapGoalMs longest pause within the goal; 0 if there is none
+     * @param gapGoalMs goal for the longest pause; 0 if there is no such goal
      * @param prefills prefills in progress at the engine
      */
     public long nextEventTimeoutMs(long gapGoalMs, int prefills) {
@@ -88,7 +89,7 @@
     /**
      * Returns the time after which an engine that sent no first event is probed.
      *
-     * @param tokens prompt tokens in prefill at the engine, those of the request included
+     * @param tokens prompt tokens in prefill at the engine, including the tokens of this request
      * @param goalMs time goal of the first event
      */
     public long firstEventTimeoutMs(long tokens, long goalMs) {
--- a/masticweir/src/main/java/org/masticweir/forward/SilenceTimer.java
+++ b/masticweir/src/main/java/org/masticweir/forward/SilenceTimer.java
@@ -4,9 +4,7 @@
 
 import org.masticweir.catalog.BackendServer;
 
-/**
- * Measures the silence of the server of one send against its timeout; owned by the traffic thread.
- */
+/** Measures the time since the last activity of one send's server; owned by the traffic thread. */
 public final class SilenceTimer {
     /**
      * Time between two checks of a server that has not sent its first event, in ms: at most a third
@@ -14,7 +12,10 @@
      */
     static final long CHECK_INTERVAL_MS = 250;
 
-    /** Maximum age of an engine's report, in ms: it may lack a request that was sent since. */
+    /**
+     * Maximum age of an engine's report, in ms. A report may lack requests that were sent within
+     * this time.
+     */
     static final long MAX_REPORT_AGE_MS = 600;
 
     private final BackendServer server;
@@ -48,7 +49,7 @@
                         : timeouts.firstEventTimeoutMs(prefillTokens, request.route().goalMs());
     }
 
-    /** Returns the timer of a send that leaves now and is already counted in {@code loads}. */
+    /** Returns the timer of a send that starts now and is already counted in {@code loads}. */
     public static SilenceTimer of(
             Step.Send send,
             RequestParameters request,
@@ -73,7 +74,7 @@
     /**
      * Handles an engine's report about a request that has not started in time.
      *
-     * @return whether the engine may still have the request and the timer runs again
+     * @return whether the engine may still have the request, so that the restarted timer applies
      */
     public boolean recordReport(EngineReport report, String requestId, long nowMs) {
         lastActivityMs = nowMs;
@@ -85,30 +86,31 @@
         lastActivityMs = nowMs;
     }
 
-    /** Returns when the silence reaches its timeout. */
+    /** Returns the time at which the timeout is reached. */
     public long deadlineMs() {
         return lastActivityMs + timeoutMs;
     }
 
-    /** Returns when to check again. */
+    /** Returns the time of the next check. */
     public long nextCheckMs(long nowMs) {
         return isLossCertain() ? deadlineMs() : Math.min(deadlineMs(), nowMs + CHECK_INTERVAL_MS);
     }
 
     /**
-     * Returns whether the silence needs an action now.
+     * Returns whether the server must be probed or replaced now.
      *
-     * <p>Covers a domain that stops responding while one of its engines is in a prefill. Its
-     * streams show the loss within half a pause, while the prefill would be awaited for seconds.
-     * The engine is therefore probed as soon as its server is excluded from new requests.
+     * <p>Covers a domain that stops responding while one of its engines is in a prefill. Timeouts
+     * of other streams reveal the loss within half of the longest pause, while the timeout of the
+     * prefill takes seconds. The engine is therefore probed as soon as it is excluded from new
+     * requests.
      */
     public boolean needsAction(ServerHealth health, long nowMs) {
         return nowMs >= deadlineMs() || (!isLossCertain() && health.isDown(server, nowMs));
     }
 
     /**
-     * Returns whether a timeout means that the server is lost. Before its first event a server may
-     * just be in a prefill; resuming from a copy needs next to no prefill.
+     * Returns whether a timeout means that the server is lost. Before the first event, the server
+     * may still run the prefill. A run that resumes from a copy needs almost no prefill.
      */
     public boolean isLossCertain() {
         return hasFirstEvent || resumesFromCopy;
--- a/masticweir/src/main/java/org/masticweir/forward/Step.java
+++ b/masticweir/src/main/java/org/masticweir/forward/Step.java
@@ -12,7 +12,7 @@
 
 /** Next step of a request, as decided by its {@link RequestStateMachine}; immutable. */
 public sealed interface Step {
-    /** Returns whether the request is sent now, or may be once a permit is granted. */
+    /** Returns whether this step sends the request or acquires a permit for a send. */
     default boolean mayLeadToSend() {
         return this instanceof Send
                 || this instanceof AcquirePermit
@@ -22,8 +22,8 @@
     /**
      * Sends the request to {@code server}.
      *
-     * @param copyHolder server that stores a copy of the run as it grows
-     * @param fromCopy whether {@code server} holds a copy of the run and resumes from it
+     * @param copyHolder server that receives a copy of the run's progress
+     * @param fromCopy whether {@code server} resumes the run from its copy
      * @param lastEventId last event that the caller has received
      */
     record Send(
--- a/masticweir/src/main/java/org/masticweir/forward/StreamDurationEstimator.java
+++ b/masticweir/src/main/java/org/masticweir/forward/StreamDurationEstimator.java
@@ -5,17 +5,20 @@
 import java.util.OptionalLong;
 
 /**
- * Estimates the duration of streams from those that ended; owned by the traffic thread.
+ * Estimates the duration of streams from ended streams; owned by the traffic thread.
  *
- * <p>Streams that a draining router admits are cut off if the process has to end before they do.
- * The duration of a stream depends on its maximum number of output tokens, so the router can admit
- * only the streams that still end in time.
+ * <p>Streams of a draining router are interrupted if they are still running when the process must
+ * end. The duration of a stream depends on its maximum number of output tokens, so the router can
+ * admit only the streams that still end in time.
  */
 public final class StreamDurationEstimator {
     /** Weight of the newest observation. */
     private static final double SMOOTHING_WEIGHT = 0.1;
 
-    /** Multiple of the estimate that a stream is given: the speed of engines differs by a third. */
+    /**
+     * Multiple of the estimate that is reserved for a stream: the speed of engines differs by a
+     * third.
+     */
     private static final double MARGIN = 1.3;
 
     private boolean hasObservation;
@@ -47,7 +50,8 @@
     }
 
     /**
-     * Returns the time within which nearly all streams of {@code size} end; empty while unknown.
+     * Returns the time within which nearly all streams of {@code size} end; empty before the first
+     * observation.
      */
     public OptionalLong expectedDurationMs(RequestSize size) {
         return hasObservation
--- a/masticweir/src/main/java/org/masticweir/forward/WaitQueue.java
+++ b/masticweir/src/main/java/org/masticweir/forward/WaitQueue.java
@@ -13,13 +13,16 @@
  * Requests of this router that wait for a slot of an engine, by urgency and then by arrival; owned
  * by the traffic thread.
  *
- * <p>More long prompts may arrive than engines can accept. Without a queue, a free slot goes to the
- * request that happens to check next, so the requests that have waited longest expire while later
- * ones are served. A queue longer than the number of requests that can leave the engines in time
- * only delays the refusal of its last requests, so it is bounded.
+ * <p>More long prompts may arrive than engines can accept. Without a queue, the next request that
+ * checks for a server gets a free slot, so requests may expire while later requests are served. The
+ * queue is bounded by the number of requests that the engines are expected to complete in time: a
+ * longer queue would only delay the refusal of the last requests.
  */
 public final class WaitQueue {
-    /** Minimum capacity: a router without running requests finds free slots only by trying. */
+    /**
+     * Minimum capacity: a router without running requests can't estimate how many slots become
+     * free.
+     */
     static final int MIN_CAPACITY = 4;
 
     private static final Comparator<Entry> ORDER =
@@ -38,7 +41,7 @@
      * Queue entry of one request; immutable.
      *
      * @param urgency 0 for the most urgent
-     * @param expiresMs when the request stops waiting; an entry not removed by then is ignored
+     * @param expiresMs when the request stops waiting; an expired entry is ignored
      */
     record Entry(ServiceName service, int urgency, long sequenceNumber, long expiresMs) {
         Entry {
@@ -77,7 +80,8 @@
     }
 
     /**
-     * Returns how many requests may wait: as many as are expected to leave the engines in time.
+     * Returns the maximum number of waiting requests: the number of running requests that are
+     * expected to end in time.
      *
      * @param runningRequests running requests of this router
      * @param maxWaitMs longest wait of a request
@@ -89,8 +93,8 @@
     }
 
     /**
-     * Removes expired entries. Without this, an entry that its request did not remove would block
-     * all others for as long as the process runs.
+     * Removes expired entries. Without this, an entry that its request failed to remove would block
+     * all later entries until the process ends.
      */
     private void removeExpired(ServiceName service, long nowMs) {
         NavigableSet<Entry> queue = queues.get(service);
--- a/masticweir/src/main/java/org/masticweir/permits/AnnouncedLimit.java
+++ b/masticweir/src/main/java/org/masticweir/permits/AnnouncedLimit.java
@@ -4,10 +4,10 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * The request limit that one answer of a server announces, if any; immutable.
+ * The request limit in one answer of a server, or the absence of a limit; immutable.
  *
- * @param perSecond requests a second from all routers together; 0 unless {@code kind} is {@link
- *     Kind#ANNOUNCED}
+ * @param perSecond maximum requests a second from all routers together; 0 unless {@code kind} is
+ *     {@link Kind#ANNOUNCED}
  */
 public record AnnouncedLimit(Kind kind, double perSecond) {
     private static final AnnouncedLimit NONE = new AnnouncedLimit(Kind.NONE, 0);
@@ -17,7 +17,7 @@
     public enum Kind {
         NONE,
         ANNOUNCED,
-        /** The answer has a limit that cannot be parsed: the limit known before stays in force. */
+        /** The answer has a limit that cannot be parsed: the stored limit stays in force. */
         UNREADABLE
     }
 
@@ -26,7 +26,7 @@
         checkArgument(perSecond >= 0 && Double.isFinite(perSecond), "%s a second", perSecond);
     }
 
-    /** Returns the value for an answer without a limit. */
+    /** Returns the instance for an answer without a limit. */
     public static AnnouncedLimit none() {
         return NONE;
     }
@@ -35,7 +35,10 @@
         return UNREADABLE;
     }
 
-    /** Returns the announced limit; unreadable if it is negative or not finite. */
+    /**
+     * Returns the announced limit; {@link Kind#UNREADABLE} if {@code perSecond} is negative or not
+     * finite.
+     */
     public static AnnouncedLimit of(double perSecond) {
         return perSecond >= 0 && Double.isFinite(perSecond)
                 ? new AnnouncedLimit(Kind.ANNOUNCED, perSecond)
--- a/masticweir/src/main/java/org/masticweir/permits/IssuerSelector.java
+++ b/masticweir/src/main/java/org/masticweir/permits/IssuerSelector.java
@@ -13,14 +13,15 @@
  * Selects the router that issues the permits of a shared rate, based on the links of this router.
  * Thread-safe.
  *
- * <p>All routers that are linked with each other select the same issuer. Routers without a link may
- * be on the other side of a network partition, where one of them issues permits for the same rate.
- * Each side therefore grants only a fraction of the rate: the number of its routers divided by the
- * number of all known routers. A router without any link grants the fraction of one router.
+ * <p>Routers that are all linked with each other select the same issuer. Unlinked routers may be on
+ * the other side of a network partition, where another issuer grants permits for the same rate.
+ * Each side therefore grants only a fraction of the rate: the number of routers on this side
+ * divided by the number of all known routers.
  */
 final class IssuerSelector {
     /**
-     * Time for which a router without a link is still counted, in ms: longer than most partitions.
+     * Time for which a router is counted after the loss of its link, in ms: longer than most
+     * partitions.
      */
     private static final long ROUTER_EXPIRY_MS = 60_000;
 
@@ -38,7 +39,7 @@
         linksChangedMs = nowMs;
     }
 
-    /** Adds a router, whether it is linked or not. */
+    /** Adds a known router, linked or not. */
     synchronized void addRouter(RouterId router, long nowMs) {
         if (!router.equals(self)) {
             lastSeenMs.put(router, nowMs);
@@ -64,12 +65,14 @@
         linksChangedMs = nowMs;
     }
 
-    /** Returns when a link last came up or was lost: issuers may have changed at that time. */
+    /**
+     * Returns the time at which a link was last established or lost: issuers may have changed then.
+     */
     synchronized long linksChangedMs() {
         return linksChangedMs;
     }
 
-    /** Returns the router that issues the permits of {@code key}; may be this router. */
+    /** Returns the router that issues the permits of {@code key}, possibly this router. */
     synchronized RouterId issuer(PermitKey key) {
         if (cachedIssuers.size() >= MAX_CACHED_KEYS) {
             cachedIssuers.clear();
@@ -84,8 +87,8 @@
     }
 
     /**
-     * Returns the fraction of a rate that this router and those linked with it may grant, above 0
-     * and at most 1.
+     * Returns the fraction of a rate that this router and its linked routers may grant together,
+     * above 0 and at most 1.
      */
     synchronized double reachableFraction(long nowMs) {
         lastSeenMs
--- a/masticweir/src/main/java/org/masticweir/permits/LimitUpdate.java
+++ b/masticweir/src/main/java/org/masticweir/permits/LimitUpdate.java
@@ -16,7 +16,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Reports to another router which limits servers announced or lifted; immutable. */
+/** Reports changed and lifted limits of servers to another router; immutable. */
 public record LimitUpdate(List<ServerLimit> limits) implements PeerMessage {
     private static final int LIMIT_FIELDS = 5;
     private static final int MAX_LIMITS = 16_384;
@@ -45,7 +45,7 @@
         checkArgument(perSecond >= 0 && Double.isFinite(perSecond), "%s a second", perSecond);
     }
 
-    /** Returns the codec of these messages under the number {@code type}. */
+    /** Returns the codec of limit updates with message type {@code type}. */
     public static MessageCodec<LimitUpdate> codec(int type) {
         return FieldsCodec.of(
                 type,
--- a/masticweir/src/main/java/org/masticweir/permits/PermitDecision.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitDecision.java
@@ -3,9 +3,10 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * The decision on one permit request; immutable.
+ * Decision on one permit request; immutable.
  *
- * @param retryAfterMs time until another request may be granted, in ms; 0 if granted
+ * @param retryAfterMs time until a new permit request may be granted, in ms; 0 if this request was
+ *     granted
  */
 public record PermitDecision(boolean isGranted, long retryAfterMs) {
     private static final PermitDecision GRANTED = new PermitDecision(true, 0);
--- a/masticweir/src/main/java/org/masticweir/permits/PermitIssuer.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitIssuer.java
@@ -13,27 +13,31 @@
  * Grants permits for the shared rates that this router issues. Thread-safe: each call holds one
  * lock for a short time.
  *
- * <p>A permit allows the requesting router one use. The routers' shares of a rate thereby follow
- * their demand, and no router rounds a fraction of a use up.
+ * <p>A permit allows the requesting router one use. Routers thereby use a rate in proportion to
+ * their demand, and no router rounds its share up to a whole use.
  */
 final class PermitIssuer {
-    /** Maximum number of rates stored; the least recently used one is evicted first. */
+    /** Maximum number of stored rates; the least recently used rate is evicted first. */
     private static final int MAX_RATES = 16_384;
 
-    /** Requests for each available permit that are enough for all permits to be used. */
+    /** Number of requests per available permit that is enough for the use of all permits. */
     private static final double REQUESTS_PER_PERMIT = 4;
 
-    /** Tokens required while more urgent requests wait, so that one token is left for them. */
+    /**
+     * Tokens required while more urgent requests wait, so that one token is left for the urgent
+     * requests.
+     */
     private static final double TOKENS_TO_LEAVE_ONE = 2;
 
     /**
-     * Longest time for which a router is denied, in ms: its callers may be the only ones with
-     * demand.
+     * Maximum retry delay of a denied router, in ms. All demand may come from this router's
+     * callers.
      */
     private static final long MAX_RETRY_AFTER_MS = 2_000;
 
     /**
-     * Time after its last request for which a router counts as having callers for the rate, in ms.
+     * Time after a router's last request for which the router is counted as a requester of the
+     * rate, in ms.
      */
     private static final long REQUESTER_EXPIRY_MS = MAX_RETRY_AFTER_MS + 1_000;
 
@@ -47,12 +51,12 @@
                 }
             };
 
-    /** One rate and the routers that request it, ordered by the time of their last request. */
+    /** State of one rate. The requesting routers are ordered by the time of their last request. */
     private static final class RateState {
         private final TokenBucket bucket;
         private final Map<RouterId, Long> requesters = new LinkedHashMap<>(16, 0.75f, true);
 
-        /** The time until which a token is reserved for denied requests, by their urgency. */
+        /** The time until which a token is reserved for denied requests, by urgency. */
         private final NavigableMap<Integer, Long> reservedUntilMs = new TreeMap<>();
 
         private long lastRequestMs;
@@ -63,8 +67,8 @@
         }
 
         /**
-         * Discards saved tokens if the last request came before {@code sinceMs}, as another router
-         * may have issued permits between the two.
+         * Discards saved tokens if the last request was before {@code sinceMs}. Another router may
+         * have issued permits between the last request and that time.
          */
         void discardTokensBefore(long sinceMs) {
             if (lastRequestMs < sinceMs) {
@@ -89,8 +93,8 @@
         }
 
         /**
-         * Returns the interval between two requests of one router at which all routers together
-         * send enough requests, in ms.
+         * Returns the interval between two requests of one router, in ms. At this interval, all
+         * requesters together send {@link #REQUESTS_PER_PERMIT} requests per permit.
          */
         long requestIntervalMs(SharedRate rate) {
             return (long)
@@ -102,9 +106,9 @@
      * Decides on a permit for one use.
      *
      * @param urgency 0 is the most urgent
-     * @param rate the fraction of the shared rate that this router may grant
-     * @param issuerSinceMs the latest time at which the issuer may have changed: tokens from before
-     *     that time are not granted, as the previous issuer may have granted them
+     * @param rate the part of the shared rate that this router may grant, in uses a second
+     * @param issuerSinceMs the latest time at which the issuer may have changed. Older tokens are
+     *     not granted, as the previous issuer may have granted them.
      */
     synchronized PermitDecision decide(
             RouterId requester,
@@ -126,7 +130,7 @@
         return PermitDecision.denied(retryAfterMs);
     }
 
-    /** Counts a use that was made without a permit. */
+    /** Counts a use without a permit. */
     synchronized void recordUsage(PermitKey key, SharedRate rate, long issuerSinceMs, long nowMs) {
         updatedState(key, rate, issuerSinceMs, nowMs).bucket.consumeWithoutPermit(nowMs);
     }
--- a/masticweir/src/main/java/org/masticweir/permits/PermitKey.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitKey.java
@@ -6,7 +6,7 @@
 import org.masticweir.catalog.ServerIncarnation;
 import org.masticweir.catalog.ServiceName;
 
-/** The key of one rate that all routers share; immutable. */
+/** Key of one rate that all routers share; immutable. */
 public record PermitKey(String value) {
     static final int MAX_CHARS = 300;
 
@@ -20,7 +20,7 @@
         return new PermitKey("server/" + server);
     }
 
-    /** Returns the key of the retries for a service that exceed the routers' own shares. */
+    /** Returns the key of the retry allowance of a service. */
     public static PermitKey ofRetries(ServiceName service) {
         return new PermitKey("repeats/" + service.value());
     }
--- a/masticweir/src/main/java/org/masticweir/permits/PermitReply.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitReply.java
@@ -14,7 +14,7 @@
         checkNotNull(decision, "decision");
     }
 
-    /** Returns the codec of these messages under the number {@code type}. */
+    /** Returns the codec of permit replies with message type {@code type}. */
     public static MessageCodec<PermitReply> codec(int type) {
         return FieldsCodec.of(
                 type,
--- a/masticweir/src/main/java/org/masticweir/permits/PermitRequest.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitRequest.java
@@ -13,8 +13,8 @@
  * Requests a permit for one use of a shared rate; the reply is a {@link PermitReply}.
  *
  * @param urgency 0 is the most urgent
- * @param rate the whole rate that the requesting router has observed
- * @param isForwarded whether a router that was not the issuer has forwarded this request
+ * @param rate the whole shared rate, as observed by the requesting router
+ * @param isForwarded whether this request was forwarded by a router that is not the issuer
  */
 public record PermitRequest(PermitKey key, int urgency, SharedRate rate, boolean isForwarded)
         implements PeerMessage {
@@ -26,7 +26,7 @@
         checkNotNull(rate, "rate");
     }
 
-    /** Returns the codec of these messages under the number {@code type}. */
+    /** Returns the codec of permit requests with message type {@code type}. */
     public static MessageCodec<PermitRequest> codec(int type) {
         return FieldsCodec.of(
                 type, PermitRequest.class, FIELDS, PermitRequest::encode, PermitRequest::decode);
--- a/masticweir/src/main/java/org/masticweir/permits/RateUsageReport.java
+++ b/masticweir/src/main/java/org/masticweir/permits/RateUsageReport.java
@@ -10,9 +10,9 @@
 import org.msgpack.core.MessagePacker;
 
 /**
- * Reports a use of a shared rate that could not wait for a permit.
+ * Reports one use of a shared rate without a permit to the issuer.
  *
- * @param rate the whole rate that the sender has observed
+ * @param rate the whole shared rate, as observed by the sender
  */
 public record RateUsageReport(PermitKey key, SharedRate rate) implements PeerMessage {
     private static final int FIELDS = 3;
@@ -22,7 +22,7 @@
         checkNotNull(rate, "rate");
     }
 
-    /** Returns the codec of these messages under the number {@code type}. */
+    /** Returns the codec of rate usage reports with message type {@code type}. */
     public static MessageCodec<RateUsageReport> codec(int type) {
         return FieldsCodec.of(
                 type,
--- a/masticweir/src/main/java/org/masticweir/permits/ServerLimits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/ServerLimits.java
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Applies an answer of a server; returns whether the stored limit has changed.
+     * Updates the stored limit from an answer of a server; returns whether the limit has changed.
      *
-     * <p>Answers may arrive out of order: an answer without a limit lifts the limit only if its
-     * request was sent after the limit was last reported.
+     * <p>Answers may arrive out of order. An answer without a limit therefore lifts the stored
+     * limit only if the answered request was sent after the limit was last reported.
      *
      * @param sentMs when the answered request was sent
      */
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Applies another router's report unless the stored limit is as new; returns whether the limit
-     * has changed.
+     * Updates the stored limit if another router's report is newer; returns whether the limit has
+     * changed.
      */
     boolean merge(ServerLimit reported, long nowMs) {
         Limit knownLimit = limits.get(reported.server());
@@ -71,13 +71,16 @@
         return changed;
     }
 
-    /** Returns a server's limit in requests a second from all routers; empty if it has none. */
+    /**
+     * Returns a server's limit in requests a second from all routers together; empty if the server
+     * has no limit.
+     */
     public OptionalDouble perSecond(ServerIncarnation server) {
         Limit limit = findLimit(server);
         return limit == null ? OptionalDouble.empty() : limit.perSecond;
     }
 
-    /** Called for each server before each send; in most deployments no server has a limit. */
+    /** Called for each server before each send, so the common case without limits returns early. */
     private Limit findLimit(ServerIncarnation server) {
         return limits.isEmpty() ? null : limits.get(server);
     }
@@ -100,7 +103,8 @@
     }
 
     /**
-     * Returns the time until a permit for a server may be available, in ms; 0 if one may be now.
+     * Returns the time until a permit for a server may be available, in ms; 0 if the server has no
+     * limit or is not blocked.
      */
     public long remainingBlockMs(ServerIncarnation server, long nowMs) {
         Limit limit = findLimit(server);
@@ -108,7 +112,7 @@
         return isLimited && limit.blockedUntilMs > nowMs ? limit.blockedUntilMs - nowMs : 0;
     }
 
-    /** Removes all servers that are not in {@code listedServers}. */
+    /** Removes the limits of all servers that are not in {@code listedServers}. */
     void retainServers(Set<ServerIncarnation> listedServers) {
         limits.keySet().retainAll(listedServers);
     }
--- a/masticweir/src/main/java/org/masticweir/permits/SharedLimits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/SharedLimits.java
@@ -18,8 +18,9 @@
 import org.masticweir.time.Clock;
 
 /**
- * The limits that servers announce. Each change of a limit is logged and counted, and a change that
- * this router observed is sent to the other routers. Owned by the traffic thread.
+ * Shares the limits that servers announce with the other routers. Logs and counts each change of a
+ * limit, and sends the changes that this router observed to all other routers. Owned by the traffic
+ * thread.
  */
 public final class SharedLimits {
     private static final Logger LOG = LogManager.getLogger(SharedLimits.class);
@@ -33,7 +34,7 @@
     private final Counter limitedServersCounter;
 
     /**
-     * Creates the limits of one router.
+     * Creates the shared limits of one router.
      *
      * @param broadcast sends an update to all other routers
      */
@@ -56,7 +57,7 @@
      * Handles an answer of a server.
      *
      * @param request the answered request, for the log
-     * @param sentMs when that request was sent
+     * @param sentMs time at which the answered request was sent
      */
     public void handleAnswer(
             ServerIncarnation server, AnnouncedLimit announcedLimit, String request, long sentMs) {
@@ -87,13 +88,19 @@
         }
     }
 
-    /** Returns all limits, for a router that has just been linked; empty if there are none. */
+    /**
+     * Returns an update with all limits, for a router that has just been linked; empty if there are
+     * no limits.
+     */
     public Optional<LimitUpdate> snapshot() {
         ImmutableList<ServerLimit> all = limits.snapshot(clock.nowMs());
         return all.isEmpty() ? Optional.empty() : Optional.of(new LimitUpdate(all));
     }
 
-    /** Counts a status probe: it is a request to the server, but must not wait for a permit. */
+    /**
+     * Reports the use of a status probe. A probe counts as a request to the server, but must not
+     * wait for a permit.
+     */
     public void recordProbe(ServerIncarnation server) {
         limits.perSecond(server)
                 .ifPresent(
@@ -104,8 +111,8 @@
     }
 
     /**
-     * Requests a permit to send one request to a server. After a denial this router requests no
-     * permit for the server until the time that the decision states.
+     * Requests a permit to send one request to a server. After a denial, this router does not
+     * request permits for the server until {@link PermitDecision#retryAfterMs} has passed.
      *
      * @param urgency 0 is the most urgent
      */
@@ -139,7 +146,7 @@
                         + " ms ago";
     }
 
-    /** Removes all servers that are not in {@code listedServers}. */
+    /** Removes the limits of all servers that are not in {@code listedServers}. */
     public void retainServers(Set<ServerIncarnation> listedServers) {
         limits.retainServers(listedServers);
         updateCount();
--- a/masticweir/src/main/java/org/masticweir/permits/SharedPermits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/SharedPermits.java
@@ -16,18 +16,19 @@
 import org.masticweir.time.Clock;
 
 /**
- * Requests permits from the routers that issue them, and issues those whose issuer is this router.
- * Thread-safe.
+ * Requests permits from their issuers, and issues the permits of the rates whose issuer is this
+ * router. Thread-safe.
  *
- * <p>A server may accept a few requests a second from hundreds of routers together. If each router
- * applied the limit on its own, the total would be the limit multiplied by the number of routers;
- * if each applied its share, every router would round it up.
+ * <p>A server may accept only a few requests a second from hundreds of routers together. If each
+ * router applied the whole limit, the total would be the limit multiplied by the number of routers.
+ * If each router applied its share of the limit, every router would round its share up to a whole
+ * request.
  */
 public final class SharedPermits {
     private static final Logger LOG = LogManager.getLogger(SharedPermits.class);
 
     /**
-     * Timeout of a permit request, in ms: many times the network delay, and short compared with a
+     * Timeout of a permit request, in ms: many times the network delay, but much shorter than a
      * latency goal.
      */
     private static final long REQUEST_TIMEOUT_MS = 100;
@@ -49,7 +50,7 @@
     private final Counter unansweredCounter;
 
     /**
-     * Creates the permits of one router.
+     * Creates the shared permits of one router.
      *
      * @param trafficExecutor runs the callbacks that receive the decisions
      */
@@ -69,7 +70,7 @@
         unansweredCounter = metrics.counter(MetricName.of("permit_asks_unanswered_total"));
     }
 
-    /** Adds a router; it may issue permits once it is linked. */
+    /** Adds a known router. The router may issue permits once it is linked. */
     public void addRouter(RouterId router) {
         issuerSelector.addRouter(router, clock.nowMs());
     }
@@ -86,8 +87,8 @@
      * Requests a permit for one use of a rate; called on the traffic thread.
      *
      * @param urgency 0 is the most urgent
-     * @param callback receives the decision on the traffic thread; called before this method
-     *     returns if this router is the issuer
+     * @param callback receives the decision on the traffic thread. If this router is the issuer,
+     *     the callback is called before this method returns.
      */
     public void request(
             PermitKey key, int urgency, SharedRate rate, Consumer<PermitDecision> callback) {
@@ -130,7 +131,7 @@
                                                         issuerId, request.key(), answer, error))));
     }
 
-    /** Reports a use that could not wait for a permit, so that the issuer grants fewer permits. */
+    /** Reports a use without a permit to the issuer, which then grants fewer permits. */
     void reportUsage(PermitKey key, SharedRate rate) {
         RouterId issuerId = issuerSelector.issuer(key);
         if (issuerId.equals(self)) {
@@ -140,7 +141,7 @@
         }
     }
 
-    /** Counts a use without a permit, by this router or another. */
+    /** Counts a use without a permit by this router or by another router. */
     public void handleUsage(RateUsageReport report) {
         long now = clock.nowMs();
         SharedRate localRate = report.rate().scaledBy(issuerSelector.reachableFraction(now));
--- a/masticweir/src/main/java/org/masticweir/permits/SharedRate.java
+++ b/masticweir/src/main/java/org/masticweir/permits/SharedRate.java
@@ -5,19 +5,21 @@
 /**
  * A rate that all routers share; immutable.
  *
- * @param perSecond uses a second by all routers together
+ * @param perSecond maximum uses a second by all routers together
  * @param burst maximum number of unused tokens that are saved
  */
 public record SharedRate(double perSecond, double burst) {
     /** Time for which unused tokens of a server's limit are saved, in seconds. */
     private static final double BURST_S = 0.25;
 
-    /** Minimum burst: the next permit request arrives some time after a token becomes available. */
+    /**
+     * Minimum burst. A second token may become available before the next permit request arrives.
+     */
     private static final double MIN_BURST = 2;
 
     /**
-     * Minimum rate for a server, in requests a second: only an answer of the server can show that
-     * its limit has risen.
+     * Minimum rate for a server, in requests a second. Even a server with a limit of 0 needs some
+     * requests, as only an answer can announce a higher limit.
      */
     private static final double MIN_PER_SECOND = 0.25;
 
@@ -26,7 +28,7 @@
 
     /**
      * Fractions of an allowance that are granted at a steady rate and as a burst; the rest is a
-     * margin for uses that are still in flight.
+     * margin for uses in flight.
      */
     private static final double STEADY_FRACTION = 0.88;
 
@@ -43,13 +45,13 @@
         return new SharedRate(rate, Math.max(MIN_BURST, rate * BURST_S));
     }
 
-    /** Returns the rate that stays within {@code allowance} uses in every window. */
+    /** Returns the rate that allows at most {@code allowance} uses in every window. */
     public static SharedRate ofAllowance(double allowance) {
         double perSecond = allowance * STEADY_FRACTION / ALLOWANCE_WINDOW_S;
         return new SharedRate(perSecond, Math.max(1, allowance * BURST_FRACTION));
     }
 
-    /** Returns the rate that the given fraction of the routers may grant on its own. */
+    /** Returns the part of this rate that the given fraction of the routers may grant. */
     SharedRate scaledBy(double fraction) {
         checkArgument(fraction > 0 && fraction <= 1, "fraction %s", fraction);
         return new SharedRate(perSecond * fraction, Math.max(1, burst * fraction));
--- a/masticweir/src/main/java/org/masticweir/permits/TokenBucket.java
+++ b/masticweir/src/main/java/org/masticweir/permits/TokenBucket.java
@@ -22,14 +22,14 @@
         lastRefillMs = ms;
     }
 
-    /** Changes the rate; saved tokens are kept up to the burst of the new rate. */
+    /** Changes the rate and reduces the saved tokens to at most the burst of the new rate. */
     void setRate(SharedRate newRate, long nowMs) {
         refill(nowMs);
         rate = checkNotNull(newRate, "newRate");
         tokens = Math.min(tokens, rate.burst());
     }
 
-    /** Takes a token if at least {@code requiredTokens} are available. */
+    /** Consumes one token and returns true if at least {@code requiredTokens} are available. */
     boolean tryConsume(double requiredTokens, long nowMs) {
         refill(nowMs);
         if (tokens < requiredTokens) {
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Takes a token for a use that has already been made. The balance may become negative, down to
+     * Consumes one token for a use without a permit. The balance may become negative, at most by
      * the burst, which delays the next grants.
      */
     void consumeWithoutPermit(long nowMs) {
--- a/masticweir/src/main/java/org/masticweir/permits/package-info.java
+++ b/masticweir/src/main/java/org/masticweir/permits/package-info.java
@@ -1,2 +1,2 @@
-/** Rate limits that all routers share, and the permits for their uses. */
+/** Rate limits that all routers share, and permits for single uses of these rates. */
 package org.masticweir.permits;
--- a/masticweir/src/main/java/org/masticweir/retry/FailedAttempt.java
+++ b/masticweir/src/main/java/org/masticweir/retry/FailedAttempt.java
@@ -10,14 +10,14 @@
 import org.masticweir.id.WorkClassId;
 
 /**
- * A send of a request that failed before anything was released to the caller; immutable.
+ * A send that failed before the caller received any part of the answer; immutable.
  *
  * @param code reason of the failure
- * @param verdict what is known of all sends of the request so far
+ * @param verdict whether any send of the request so far may have run
  * @param sendCount sends of the request so far, at least 1
- * @param deadlineMs when the answer is due
- * @param expectedMs predicted time from another send to the due part of the answer, in ms
- * @param hasOtherEngine whether an engine is left that has not failed this request
+ * @param deadlineMs deadline of the answer
+ * @param expectedMs predicted time from a retry to the required part of the answer, in ms
+ * @param hasOtherEngine whether an engine exists that has not failed this request
  * @param engineRetryAfterMs time after which the engine accepts a retry, if it reported one
  */
 public record FailedAttempt(
--- a/masticweir/src/main/java/org/masticweir/retry/RetryBudget.java
+++ b/masticweir/src/main/java/org/masticweir/retry/RetryBudget.java
@@ -9,18 +9,18 @@
 import org.masticweir.id.WorkClassId;
 
 /**
- * Limits retries of requests to a share of the first sends.
+ * Limits retries to a share of the first sends of requests.
  *
  * <p>If engines refuse requests in overload and every refusal is retried, the sends that cause the
- * overload multiply. Over a sliding window, the retries of a class and team stay within a share of
- * its first sends or a small floor, and so do those of the whole router, so the floors of many
- * small teams don't add up. A recovery that continues after a token is not a retry and is not
- * counted here. A recovery of a request without a token costs engines as much as a retry: it is
- * counted and leaves less for retries, but it is never refused, because the request was accepted
- * and the loss of its engine is no reason to abandon it.
+ * overload multiply. Over a sliding window, the retries of each pair of class and team stay within
+ * a share of the pair's first sends or within a small floor. The same limit applies to the whole
+ * router, so the floors of many small teams don't add up. A recovery of a request that has received
+ * a token is not a retry and is not counted here. A recovery of a request without a token costs
+ * engines as much as a retry, so it is counted and reduces the remaining retries. The budget never
+ * refuses a recovery, because the request was accepted before its engine was lost.
  *
- * <p>The floor of the router matters only when hardly anything is sent: above {@code floor / share}
- * first sends in a window, all sends are at most {@code 1 + share} times the first ones.
+ * <p>The router's floor applies only at low load: above {@code floor / share} first sends in a
+ * window, the number of all sends is at most {@code 1 + share} times the number of first sends.
  *
  * <p>Thread-safe: each call holds one lock for a short time.
  */
@@ -28,10 +28,16 @@
     private static final double DEFAULT_SHARE = 0.1;
     private static final int DEFAULT_FLOOR = 3;
 
-    /** Largest share: more than the sends of a request bounds nothing, but a trial may set it. */
+    /**
+     * Maximum share. A share above the maximum number of sends of a request has no effect, but
+     * experiments may set it.
+     */
     private static final double MAX_SHARE = 10;
 
-    /** Pairs of class and team with a window; the least recently used one is dropped first. */
+    /**
+     * Maximum number of pairs of class and team with a window; the least recently used pair is
+     * evicted first.
+     */
     private static final int MAX_WINDOWS = 8_192;
 
     private final double share;
@@ -52,7 +58,9 @@
         this.floor = floor;
     }
 
-    /** Returns a budget of one retry per ten first sends, and at least three in a window. */
+    /**
+     * Returns a budget of one retry per ten first sends, with a floor of three retries in a window.
+     */
     public static RetryBudget create() {
         return new RetryBudget(DEFAULT_SHARE, DEFAULT_FLOOR);
     }
@@ -73,7 +81,9 @@
         window(workClass, team).addFirstSend(nowMs);
     }
 
-    /** Counts a retry and returns true if the budget allows one, else changes nothing. */
+    /**
+     * Returns true and counts a retry if the budget allows the retry; otherwise changes nothing.
+     */
     public synchronized boolean tryRetry(WorkClassId workClass, TeamId team, long nowMs) {
         SendWindow ownWindow = window(workClass, team);
         if (!allows(ownWindow, nowMs) || !allows(routerWindow, nowMs)) {
@@ -85,10 +95,10 @@
     }
 
     /**
-     * Cancels a retry that was counted at {@code countedMs} and never left this process.
+     * Cancels a retry that was counted at {@code countedMs} and transmitted no data.
      *
-     * <p>Without this, a domain that is cut off, whose sends to all others fail to connect, would
-     * spend the budget on them while an engine in its own domain could accept the request.
+     * <p>In a partitioned domain, connects to all other domains fail. Without this, failed connects
+     * would exhaust the budget while an engine in the own domain could accept the request.
      */
     public synchronized void cancelRetry(
             WorkClassId workClass, TeamId team, long countedMs, long nowMs) {
@@ -96,7 +106,7 @@
         window(workClass, team).removeRetry(countedMs, nowMs);
     }
 
-    /** Counts a send that replaces one lost by its engine before the first token. */
+    /** Counts a recovery send after an engine was lost before the first token. */
     public synchronized void recordRecoverySend(WorkClassId workClass, TeamId team, long nowMs) {
         routerWindow.addRetry(nowMs);
         window(workClass, team).addRetry(nowMs);
--- a/masticweir/src/main/java/org/masticweir/retry/RetryDecision.java
+++ b/masticweir/src/main/java/org/masticweir/retry/RetryDecision.java
@@ -10,7 +10,7 @@
 
 /** Decision on a failed attempt; immutable. */
 public sealed interface RetryDecision {
-    /** The request is retried; the budget has counted the retry. */
+    /** Retries the request; the budget has counted the retry. */
     record Retry(long delayMs) implements RetryDecision {
         public Retry {
             checkArgument(delayMs >= 0, "retry after %s ms", delayMs);
@@ -18,7 +18,7 @@
     }
 
     /**
-     * The request ends with an error.
+     * Ends the request with an error.
      *
      * @param retryAfterMs when the caller may retry; empty if a retry can't help
      */
@@ -30,7 +30,7 @@
             checkNotNull(retryAfterMs, "retryAfterMs");
         }
 
-        /** Returns the error that the caller gets. */
+        /** Returns the exception for the caller. */
         public MasticweirException toException() {
             MasticweirException e = MasticweirException.of(code, verdict, "attempt failed");
             return retryAfterMs.isPresent() ? e.retryAfterMs(retryAfterMs.getAsLong()) : e;
--- a/masticweir/src/main/java/org/masticweir/retry/RetryPolicy.java
+++ b/masticweir/src/main/java/org/masticweir/retry/RetryPolicy.java
@@ -14,7 +14,7 @@
 /**
  * Decides whether a failed attempt is retried.
  *
- * <p>Thread-safe if the supplier gives each thread a generator of its own.
+ * <p>Thread-safe if the supplier returns a separate random generator for each thread.
  */
 public final class RetryPolicy {
     private static final int DEFAULT_MAX_SENDS = 3;
@@ -45,7 +45,7 @@
         return new RetryPolicy(budget, random, maxSends);
     }
 
-    /** Returns the decision on {@code failed}; a retry has been counted in the budget. */
+    /** Returns the decision on {@code failed}. The budget counts a decided retry. */
     public RetryDecision decide(FailedAttempt failed, long nowMs) {
         checkNotNull(failed, "failed");
         if (!isSafeToRetry(failed)) {
@@ -65,8 +65,9 @@
     }
 
     /**
-     * Prevents a non-idempotent request from running twice after its answer was lost: it is retried
-     * only if the verdict is that no send of it ran.
+     * Returns whether a retry can't cause a second run of a non-idempotent request, whose answer
+     * may have been lost after a run. Such a request is retried only if the verdict states that no
+     * send was run.
      */
     private static boolean isSafeToRetry(FailedAttempt failed) {
         return failed.verdict() != Verdict.COMPLETED
@@ -74,8 +75,8 @@
     }
 
     /**
-     * Returns the delay before a retry: short for another engine, and at least the time reported by
-     * the engine if it is the same one.
+     * Returns the delay before a retry. The delay is short if another engine is available;
+     * otherwise it is at least the time that the failed engine reported.
      */
     private long delayMs(FailedAttempt failed) {
         long bound = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS << (failed.sendCount() - 1));
--- a/masticweir/src/main/java/org/masticweir/retry/SendWindow.java
+++ b/masticweir/src/main/java/org/masticweir/retry/SendWindow.java
@@ -42,7 +42,10 @@
         return retrySum;
     }
 
-    /** Clears the buckets that have left the window and returns the index of the current one. */
+    /**
+     * Clears the buckets that are older than the window and returns the index of the current
+     * bucket.
+     */
     private int advance(long nowMs) {
         long bucket = Math.max(currentBucket, Math.floorDiv(nowMs, BUCKET_MS));
         long lastClearedBucket =
--- a/masticweir/src/main/java/org/masticweir/retry/package-info.java
+++ b/masticweir/src/main/java/org/masticweir/retry/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Decides whether a failed attempt may be retried: only if it is safe, within a budget and in time.
+ * Decides whether a failed attempt is retried. A retry must be safe, within the retry budget and in
+ * time.
  */
 package org.masticweir.retry;
