--- a/masticweir/src/main/java/org/masticweir/forward/ContentPolicy.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ContentPolicy.java
@@ -7,7 +7,10 @@
 public interface ContentPolicy {
     SendRule rule(long nowMs);
 
-    /** Returns how long the content stays in quarantine, in ms; empty if it is not quarantined. */
+    /**
+     * Returns how long the content stays in quarantine, in ms; empty if the policy has no
+     * quarantine.
+     */
     OptionalLong remainingQuarantineMs(long nowMs);
 
     /** Returns the policy of a request that may always be sent. */
--- a/masticweir/src/main/java/org/masticweir/forward/RequestStateMachine.java
+++ b/masticweir/src/main/java/org/masticweir/forward/RequestStateMachine.java
@@ -36,9 +36,7 @@
      */
     private static final double HEDGE_FRACTION = 0.7;
 
-    /**
-     * Divisor of the time goal that gives the minimum time after which a refused caller may retry.
-     */
+    /** Divisor of the time goal that gives the minimum retry delay of a refused caller. */
     private static final int RETRY_AFTER_DIVISOR = 4;
 
     /** Number of urgency levels within one route priority. */
@@ -58,9 +56,7 @@
     private int sendCount;
     private int transmissions;
 
-    /**
-     * Time at which the retry budget counted the send in flight; empty if the send was not counted.
-     */
+    /** Time at which the send in flight was counted as a retry; empty if it is not counted. */
     private OptionalLong retryCountedMs = OptionalLong.empty();
 
     private boolean isRequestCounted;
@@ -234,10 +230,7 @@
         return next(nowMs);
     }
 
-    /**
-     * Returns a send or a permit request if a retry may replace the error answer of a server;
-     * otherwise empty.
-     */
+    /** Returns the send or permit request that replaces a server's error answer, if allowed. */
     public Optional<Step> onErrorAnswer(long nowMs) {
         markMayHaveRun();
         boolean canRetry =
@@ -251,10 +244,7 @@
         return Optional.of(next(nowMs)).filter(Step::mayLeadToSend);
     }
 
-    /**
-     * Returns the time until {@link #onSlowAnswer} should be called if the answer is incomplete;
-     * empty if the request can't be hedged.
-     */
+    /** Returns the delay until {@link #onSlowAnswer}; empty if the request can't be hedged. */
     public OptionalLong hedgeDelayMs() {
         boolean canHedge =
                 request.route().repeatability() == Repeatability.IDEMPOTENT
@@ -304,9 +294,7 @@
         return endNow(ErrorCode.SHUTTING_DOWN, ErrorCode.ENGINE_LOST, "this router ends");
     }
 
-    /**
-     * Ends the request in any state; the error code depends on whether the request may have run.
-     */
+    /** Ends the request now; the error code depends on whether the request may have run. */
     private Step.End endNow(ErrorCode notRun, ErrorCode mayHaveRun, String reason) {
         Verdict known = verdict();
         ErrorCode code = known.safeToSendAgain() ? notRun : mayHaveRun;
@@ -322,10 +310,7 @@
         return sendCount;
     }
 
-    /**
-     * Handles the answer of a different server at the selected server's address: the selected
-     * server is gone.
-     */
+    /** Handles an answer from another server at the address: the selected server is gone. */
     public Step onWrongServer(BackendServer server, long nowMs) {
         sendCount--;
         health.recordServerGone(server);
@@ -371,10 +356,7 @@
         return new Step.Send(server, copyHolder, resumesFromCopy, lastEventId);
     }
 
-    /**
-     * Returns the copy holder if the run can resume there. A run has no copy before its first
-     * event.
-     */
+    /** Returns the copy holder if it is usable; a run has no copy before its first event. */
     private Optional<BackendServer> usableCopyHolder(long nowMs) {
         if (!hasEvent) {
             return Optional.empty();
@@ -385,9 +367,7 @@
                 .flatMap(this::findListed);
     }
 
-    /**
-     * Returns the current entry of a server; empty if the server's incarnation is no longer listed.
-     */
+    /** Returns the current entry of a server; empty if its incarnation is not listed. */
     private Optional<BackendServer> findListed(BackendServer server) {
         return servers.get().stream()
                 .filter(s -> s.incarnation().equals(server.incarnation()))
@@ -441,10 +421,7 @@
                 "servers ended under this content");
     }
 
-    /**
-     * Waits for the trial, a single send that tests suspected content, at most as long as for a
-     * free server.
-     */
+    /** Waits for the trial send of suspected content, at most as long as for a free server. */
     private Step waitForTrial(long nowMs) {
         return hasEvent || !requestWait.hasTimedOut(nowMs)
                 ? new Step.Wait(WAIT_MS)
--- a/masticweir/src/main/java/org/masticweir/permits/AnnouncedLimit.java
+++ b/masticweir/src/main/java/org/masticweir/permits/AnnouncedLimit.java
@@ -4,7 +4,7 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * The request limit in one answer of a server, or the absence of a limit; immutable.
+ * Request limit in one answer of a server, or the absence of a limit; immutable.
  *
  * @param perSecond maximum requests a second from all routers together; 0 unless {@code kind} is
  *     {@link Kind#ANNOUNCED}
--- a/masticweir/src/test/java/org/masticweir/forward/EngineOverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/EngineOverloadTest.java
@@ -17,12 +17,13 @@
 import org.masticweir.catalog.BackendServer;
 
 /**
- * Simulates a burst while half of the engines are lost. Without a queue, callers of reports are
- * refused although engines end a prefill every hundred ms, and the requests that waited longest are
- * refused first.
+ * Simulates a burst of reports while half of the engines are lost. Without a queue, reports are
+ * refused although an engine ends a prefill every hundred ms, and the requests that have waited
+ * longest are refused first.
  *
  * <p>Eight engines process 8 prompts a second; 12 reports a second arrive for 6 s. A prefill takes
- * 1.03 s alone and twice as long beside another one; a report runs for 5.5 s.
+ * 1.03 s alone at an engine, and twice as long concurrently with another prefill. A report runs for
+ * 5.5 s.
  */
 class EngineOverloadTest {
     private static final long ARRIVAL_INTERVAL_MS = 83;
@@ -32,7 +33,7 @@
     private static final long TICK_MS = 10;
     private static final long END_MS = 12_000;
 
-    /** Results of a policy. */
+    /** Results of a wait policy. */
     private record Outcome(int served, int refused, int overtaken) {}
 
     /** Action of the simulation at a given time. */
@@ -102,7 +103,7 @@
         return new Outcome(served, refused, overtaken);
     }
 
-    /** Each report checks for a free engine on its own, for an eighth of its goal. */
+    /** Each report checks for a free engine without a queue, for an eighth of its time goal. */
     private Step withoutQueue(Report report, long nowMs) {
         if (nowMs - report.arrivedMs > ForwardFixture.GOAL_MS / 8) {
             return report.stateMachine.endAtDeadline();
@@ -126,7 +127,7 @@
         return report.stateMachine.next(nowMs);
     }
 
-    /** Compares both policies under the same load. */
+    /** Compares the wait queue with unordered waiting under the same load. */
     @Nested
     class Burst {
         @Test
--- a/masticweir/src/test/java/org/masticweir/forward/ForwardFixture.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ForwardFixture.java
@@ -19,7 +19,7 @@
 import org.masticweir.id.PromptId;
 import org.masticweir.permits.ServerLimits;
 
-/** Servers of one service and the state that a router has of them. */
+/** Servers of one service and the router's state about these servers. */
 final class ForwardFixture {
     static final ServiceName SERVICE = ServiceName.of("reports");
     static final EngineSpec ENGINE = new EngineSpec(96, 88_000, true);
@@ -37,7 +37,7 @@
     final WaitQueue waitQueue = WaitQueue.create();
     final ServiceRetryBudgets retryBudgets = retryBudgetsOfBusyRouter();
 
-    /** Returns budgets of a router whose own requests allow 64 retries. */
+    /** Returns the retry budgets of a router whose own requests allow 64 retries. */
     private static ServiceRetryBudgets retryBudgetsOfBusyRouter() {
         ServiceRetryBudgets retryBudgets = ServiceRetryBudgets.of(0.8, 150);
         for (int i = 0; i < 100; i++) {
@@ -103,7 +103,7 @@
     }
 
     /**
-     * Returns the parameters of a stream whose caller already has its events up to {@code
+     * Returns the parameters of a stream whose caller has already received the events up to {@code
      * lastEvent}.
      */
     static RequestParameters parametersOfReturningCaller(long lastEvent) {
--- a/masticweir/src/test/java/org/masticweir/forward/LimitedServersTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/LimitedServersTest.java
@@ -12,7 +12,7 @@
 import org.masticweir.error.Verdict;
 import org.masticweir.permits.AnnouncedLimit;
 
-/** Tests server selection when servers limit the rate of requests. */
+/** Tests server selection among servers with a rate limit. */
 class LimitedServersTest {
     private final ForwardFixture fixture = new ForwardFixture().domain("a", 2);
 
@@ -54,7 +54,7 @@
         assertNotEquals(first, second);
     }
 
-    /** A booking that no server can accept in time must be refused at once. */
+    /** A booking must be refused at once if no server can accept the booking in time. */
     @Test
     void areAllBlockedTooLongAndRequestIsRefusedAtOnce() {
         limit(fixture.servers);
@@ -75,7 +75,7 @@
         asAcquirePermit(machine.next(100));
     }
 
-    /** Partly delivered reports precede new ones, and new ones precede retries. */
+    /** Partly delivered reports get permits before new reports, and new reports before retries. */
     @Test
     void serveStartedRequestsFirst() {
         limit(fixture.servers);
--- a/masticweir/src/test/java/org/masticweir/forward/PausingServersTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/PausingServersTest.java
@@ -99,8 +99,8 @@
     }
 
     /**
-     * A report in flight at an engine that can't be probed gets the same time as after an engine's
-     * report.
+     * A pausing engine can't be probed. The silence timer of a report at this engine restarts, as
+     * after an engine's report.
      */
     @Test
     void silenceTimerRestartsWithoutProbe() {
--- a/masticweir/src/test/java/org/masticweir/forward/QuarantinedRequestTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/QuarantinedRequestTest.java
@@ -11,7 +11,7 @@
 import org.masticweir.error.Verdict;
 import org.masticweir.quarantine.SendRule;
 
-/** Tests requests whose content has ended servers before. */
+/** Tests requests with content that has ended servers. */
 class QuarantinedRequestTest {
     private final ForwardFixture fixture = new ForwardFixture().domain("a", 3).domain("b", 3);
 
@@ -52,7 +52,7 @@
         assertEquals(OptionalLong.of(REMAINING_QUARANTINE_MS), refused.retryAfterMs());
     }
 
-    /** A request that a server had started must not be reported as not run. */
+    /** A request that a server may have started must not be reported as not run. */
     @Test
     void mayHaveRunAfterSend() {
         RequestStateMachine machine = requestUnderRule();
@@ -72,7 +72,7 @@
         assertEquals(ErrorCode.OVERLOADED, asEnd(machine.next(ForwardFixture.GOAL_MS / 2)).code());
     }
 
-    /** Requests that run at the same server may be lost with it. */
+    /** If the content ends another server, the requests at that server are lost too. */
     @Test
     void goesToLeastLoadedServer() {
         fixture.servers.stream()
--- a/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineTest.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * An aborted send must count as not run: otherwise the answer reports that a booking may have
-     * been made, though nothing of it was sent.
+     * An aborted send must count as not run. Otherwise the answer reports that a booking may have
+     * been made, although no data was sent.
      */
     @Test
     void abortedSendCountsAsNotRun() {
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Failed connects must not consume the retry budget. When a domain is cut off, all its sends to
-     * other domains fail to connect. If they exhausted the budget, a partly delivered report would
+     * Failed connects must not consume the retry budget. In a partitioned domain, all connects to
+     * other domains fail. If failed connects exhausted the budget, a partly delivered report would
      * be abandoned although engines are free.
      */
     @Nested
@@ -52,10 +52,10 @@
         /** Number of failed connects, far more than the available retries. */
         private static final int FAILED_CONNECTS = 300;
 
-        /** Retry permits that are left. */
+        /** Number of remaining retry permits. */
         private int permits = 15;
 
-        /** Decides on a retry that needs a permit. */
+        /** Decides on a step that requests a retry permit; returns any other step unchanged. */
         private Step decide(RequestStateMachine machine, Step step, long nowMs) {
             if (!(step instanceof Step.AcquireRetryPermit)) {
                 return step;
@@ -139,8 +139,8 @@
         private final RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 3);
 
         /**
-         * A closed connection does not show whether the request ran. If it were sent to another
-         * server, both could finish, and a family would get its letter twice.
+         * A closed connection does not show whether the request ran. If the request were sent to a
+         * second server, both servers could run it, and a family would get a letter twice.
          */
         @Test
         void isNotRetriedOnceItMayHaveRun() {
@@ -181,8 +181,8 @@
                 fixture.stateMachine(Repeatability.RESUMABLE, 5);
 
         /**
-         * A report must not stall for a second because another engine repeats the whole prefill
-         * after its engine is lost, although a third engine holds a copy of the run.
+         * A report whose engine is lost must not wait a second for a repeated prefill at another
+         * engine, although a third engine holds a copy of the run.
          */
         @Test
         void resumesAtCopyHolderAfterLastEvent() {
@@ -216,7 +216,7 @@
             assertEquals(OptionalLong.of(3), anew.lastEventId());
         }
 
-        /** A send that reaches a wrong server does not count against the route's limit. */
+        /** A send to the wrong server does not count towards the route's limit of sends. */
         @Test
         void doesNotCountSendsToWrongServers() {
             Step step = machine.next(0);
@@ -228,8 +228,8 @@
         }
 
         /**
-         * A report must not end incomplete while both engines of its domain run: each had stalled
-         * for a moment and had been replaced by the other, and no untried engine was left.
+         * A report must not end incomplete while both engines of the domain run. Both had stalled
+         * for a moment, so no untried engine was left.
          */
         @Test
         void returnsToTriedEngineIfNoOtherIsLeft() {
@@ -255,10 +255,10 @@
     }
 
     /**
-     * After a power loss of all routers, the callers of a dozen reports return at once with the
-     * last event they have. Without prompt cache queries, each report goes to any engine, which
-     * repeats the whole prefill although the first engine still has the prompt cached. This costs a
-     * second of an engine's time for each.
+     * After a power loss of all routers, the callers of a dozen reports retry at once with the id
+     * of the last received event. Without prompt cache queries, each report goes to any engine,
+     * which repeats the whole prefill although the first engine still has the prompt cached. Each
+     * repeated prefill costs a second of an engine's time.
      */
     @Nested
     class ReturningCaller {
@@ -348,9 +348,8 @@
     }
 
     /**
-     * When many reports arrive and the engines' memory is full, a free slot must not go to
-     * whichever request happens to check next: the one that has waited longest would be refused
-     * while later ones run.
+     * When many reports arrive and the engines' memory is full, a free slot must not go to the next
+     * request that checks: the longest waiting request would be refused while later ones run.
      */
     @Nested
     class WaitForEngine {
@@ -397,7 +396,7 @@
             asSend(secondRequest.next(20));
         }
 
-        /** An entry that is not removed must not block a service forever. */
+        /** An expired queue entry must not block a service forever. */
         @Test
         void skipsExpiredEntry() {
             fillMemory();
@@ -438,7 +437,7 @@
         }
     }
 
-    /** Servers answer with an error of their own. */
+    /** Servers answer with an application error. */
     @Nested
     class ErrorAnswers {
         @Test
@@ -457,10 +456,7 @@
         }
     }
 
-    /**
-     * A query must not run into its timeout if its server ran it and the answer was lost on the way
-     * without any sign.
-     */
+    /** A query must not time out because its answer was lost without a connection error. */
     @Nested
     class MissingAnswer {
         private final RequestStateMachine machine =
--- a/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineWaitTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineWaitTest.java
@@ -9,7 +9,7 @@
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.Repeatability;
 
-/** Tests conditions that held when a request began to wait, but no longer hold when it is sent. */
+/** Tests conditions that change while a request waits before its send. */
 class RequestStateMachineWaitTest {
     private final ForwardFixture fixture = new ForwardFixture().domain("a", 3).domain("b", 3);
 
@@ -24,7 +24,9 @@
         }
     }
 
-    /** Returns a stream that was lost and has requested a retry permit. */
+    /**
+     * Returns the state machine of a stream that lost its server and has requested a retry permit.
+     */
     private RequestStateMachine waitingForRetryPermit(long nowMs) {
         RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 60);
         BackendServer first = asSend(machine.next(nowMs)).server();
@@ -35,7 +37,8 @@
     }
 
     /**
-     * A permit of one window must not be used in a later one: retries would exceed the allowance.
+     * A permit of one window must not be used in a later window: retries would exceed the
+     * allowance.
      */
     @Test
     void permitIsRequestedAgainAfterLongWait() {
@@ -58,8 +61,8 @@
     }
 
     /**
-     * A server that announces its leaving during the connect must not receive the request long
-     * after its announcement.
+     * A server that announces during the connect that it is leaving must not receive the request
+     * long after the announcement.
      */
     @Test
     void serverThatLeavesDuringConnectGetsNoRequest() {
--- a/masticweir/src/test/java/org/masticweir/forward/ServerHealthTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerHealthTest.java
@@ -14,9 +14,9 @@
     private final ServerHealth health = fixture.health;
 
     /**
-     * When a domain loses its servers together, they are still listed and, being idle, rank best.
-     * Without the suspicion of the domain, a caller waits while its request goes from one lost
-     * server to the next.
+     * When the servers of a domain are lost together, the lost servers are still listed and rank
+     * best, because they look idle. Without the suspicion of the domain, a request is sent to one
+     * lost server after the other.
      */
     @Nested
     class CommonFailureOfDomain {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** A server refuses all requests and looks idle. */
+    /** A server that refuses all requests looks idle. */
     @Nested
     class Refusals {
         private final ServerIncarnation incarnation = fixture.byId("a-1").incarnation();
@@ -73,7 +73,7 @@
         }
 
         /**
-         * All engines refuse now and then in overload; if refusals counted as failures, all copies
+         * All engines refuse some requests in overload. If refusals counted as failures, all copies
          * would be released.
          */
         @Test
--- a/masticweir/src/test/java/org/masticweir/forward/ServerIncarnationTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerIncarnationTest.java
@@ -15,11 +15,10 @@
 import org.masticweir.id.RouterId;
 
 /**
- * A server crashes and restarts under its id within a second.
+ * Tests a server that crashes and restarts with the same id within a second.
  *
- * <p>State stored under the id would be applied to its new incarnation: it would be excluded for
- * the failures of the previous incarnation, count the requests lost with that one as load, or be
- * expected to hold a copy that it never had.
+ * <p>If state were stored by id, the new incarnation would inherit the state of the previous
+ * incarnation: the exclusion after failures, the load of lost requests and the copies.
  */
 class ServerIncarnationTest {
     private static final ServerIncarnation FIRST = ServerIncarnation.of(EngineId.of("b-1"), 1_000);
--- a/masticweir/src/test/java/org/masticweir/forward/ServerNoticesPropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerNoticesPropertyTest.java
@@ -20,7 +20,7 @@
 
 /**
  * Sends requests to servers that leave, pause and refuse at random moments, with answers that
- * overtake each other and entries that lapse and return.
+ * arrive out of order and entries that expire and reappear.
  */
 final class ServerNoticesPropertyTest {
     private static final int SERVERS = 4;
@@ -29,10 +29,7 @@
     /** Longest delay of a request and of an answer, in ms. */
     private static final int MAX_DELAY_MS = 100;
 
-    /**
-     * Servers that have announced leaving or a pause to the router must receive no requests from
-     * it.
-     */
+    /** The router must send no requests to servers that have announced leaving or a pause. */
     @Property(tries = 1_000, seed = "20261203")
     void nothingIsSentToLeavingOrPausingServers(@ForAll long seed) {
         Simulation simulation = new Simulation(new Random(seed));
@@ -56,8 +53,8 @@
     }
 
     /**
-     * The schedules must contain leaves, pauses and refusals; otherwise the properties prove
-     * nothing.
+     * The schedules must contain leaving servers, pauses and refusals; otherwise the properties
+     * prove nothing.
      */
     @Example
     void schedulesReachLeavesPausesAndRefusals() {
@@ -74,7 +71,7 @@
         assertTrue(leaves > 50 && pauses > 100 && refused > 100);
     }
 
-    /** Answer of a server, with the notices in it. */
+    /** Answer of a server with its leaving and pause notices. */
     private record Answer(ServerIncarnation from, long atMs, boolean leaving, long pauseMs) {}
 
     /** Simulation of one router and its servers. */
@@ -87,7 +84,8 @@
         private final Map<ServerIncarnation, Long> serverPausedUntilMs = new HashMap<>();
 
         /**
-         * Servers that have announced to the router that they leave, as counted by the test itself.
+         * Times of the leaving announcements that the router has received, recorded independently
+         * of the tested code.
          */
         private final Map<ServerIncarnation, Long> leavingSinceMs = new HashMap<>();
 
@@ -111,7 +109,7 @@
             }
         }
 
-        /** Lets all pauses expire; no server changes its state any more. */
+        /** Runs the simulation without further state changes until all pauses have expired. */
         void settle() {
             serverPausedUntilMs.clear();
             isSettled = true;
@@ -195,7 +193,7 @@
             }
             refusalCount++;
             forward.health.recordRefusal(server, nowMs);
-            // One refusal in four announces no pause.
+            // One in four refusals announces no pause.
             if (random.nextInt(4) > 0) {
                 forward.notices.recordPause(server, answer.pauseMs(), nowMs);
                 pausedUntilMs.merge(server, nowMs + answer.pauseMs(), Math::max);
--- a/masticweir/src/test/java/org/masticweir/forward/ServerNoticesTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerNoticesTest.java
@@ -33,7 +33,9 @@
             assertFalse(notices.isLeaving(SECOND));
         }
 
-        /** The entry of a server may lapse while the store is unavailable, and return unchanged. */
+        /**
+         * The entry of a server may expire while the store is unavailable, and reappear unchanged.
+         */
         @Test
         void survivesLapseOfEntry() {
             notices.recordLeaving(FIRST, 0);
--- a/masticweir/src/test/java/org/masticweir/forward/ServerSelectorTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerSelectorTest.java
@@ -32,9 +32,9 @@
     }
 
     /**
-     * A report must not end while its copy exists. If the own domain had just lost its engines, the
-     * run is in another domain; if its copy is there too, both are unreachable once the own domain
-     * is cut off.
+     * A report must not end while its copy exists. After the own domain has lost its engines, the
+     * run is in another domain. If the copy is in another domain too, run and copy are unreachable
+     * once the own domain is partitioned.
      */
     @Nested
     class CopyHolders {
@@ -100,8 +100,8 @@
         }
 
         /**
-         * The reports of a domain that is cut off stall if their engines are in other domains
-         * although engines of the own domain were idle.
+         * If a domain is partitioned, its reports at engines in other domains stall. Idle engines
+         * of the own domain must therefore be preferred.
          */
         @Test
         void ofOwnDomainAreChosenWithoutPrefills() {
@@ -112,9 +112,9 @@
         }
 
         /**
-         * If a domain is cut off for seconds, the reports of its callers pause for two seconds when
-         * they run in other domains. This happens if new reports go to idle engines elsewhere
-         * because each engine of the domain runs a report or two.
+         * If a domain is partitioned for seconds, its callers' reports at other domains pause for
+         * two seconds. New reports must therefore not go to idle engines elsewhere just because
+         * each engine of the own domain runs one or two reports.
          */
         @Test
         void ofOwnDomainAreChosenWithFewRequests() {
@@ -146,8 +146,8 @@
         }
 
         /**
-         * All reports pause too long in a burst if each engine runs four prefills at once, a part
-         * of each between two decode steps of its streams.
+         * If each engine runs four concurrent prefills in a burst, all reports pause too long: the
+         * engine processes a part of each prompt between two decode steps.
          */
         @Test
         void withTwoPrefillsAreNotChosen() {
@@ -190,8 +190,8 @@
 
     /**
      * Simulates a burst of prompts at eight routers: 60 prompts a second of 8,200 tokens over 64
-     * engines, with a prefill of 1.1 s. Routers that share their loads keep the maximum number of
-     * concurrent prefills at one engine far below that of routers that know only their own sends.
+     * engines, with a prefill of 1.1 s. Routers that share their loads must cause far fewer
+     * concurrent prefills at one engine than routers that count only their own sends.
      */
     @Nested
     class BurstOverEightRouters {
--- a/masticweir/src/test/java/org/masticweir/forward/ServiceRetryBudgetsTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServiceRetryBudgetsTest.java
@@ -12,7 +12,8 @@
 import org.masticweir.permits.SharedRate;
 
 /**
- * Tests the part of the shared retry budget that a router may use by itself, and the retry permits.
+ * Tests the part of the shared retry budget that a router may use without permits, and the retry
+ * permits.
  */
 class ServiceRetryBudgetsTest {
     private static final ServiceName SERVICE = ServiceName.of("lookups");
--- a/masticweir/src/test/java/org/masticweir/forward/SilenceTimerTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/SilenceTimerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.masticweir.catalog.Repeatability;
 
-/** Tests how long an engine may be silent, and the effect of its reports. */
+/** Tests the timeouts of silent engines and the effect of their reports. */
 class SilenceTimerTest {
     private static final long GOAL_MS = ForwardFixture.GOAL_MS;
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /** The engine is in the prefill. */
+    /** The engine runs the prefill. */
     @Nested
     class BeforeFirstEvent {
         @Test
@@ -62,7 +62,8 @@
 
         /**
          * A report must not start 4.5 s late because its router waits for the prefill of an engine
-         * whose whole domain stopped responding, although other streams had shown the loss.
+         * whose whole domain stopped responding, although timeouts of other streams had revealed
+         * the loss.
          */
         @Test
         void needsActionAtOnceIfServerIsDown() {
@@ -81,8 +82,8 @@
     }
 
     /**
-     * An engine may drop a request without a sign; without the engine's report, a caller waits 18
-     * s.
+     * An engine may drop a request without an error. Without the engine's report, the caller waits
+     * 18 s.
      */
     @Nested
     class EngineReports {
@@ -109,8 +110,8 @@
         }
 
         /**
-         * A report that is older than the send must not move a prompt away from the engine that has
-         * started its prefill.
+         * A report that is older than the send must not move a request away from an engine that has
+         * started the prefill.
          */
         @Test
         void isIgnoredIfRequestWasJustSent() {
--- a/masticweir/src/test/java/org/masticweir/forward/StreamDurationEstimatorTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/StreamDurationEstimatorTest.java
@@ -16,8 +16,8 @@
     }
 
     /**
-     * A draining router must not admit long reports that it can't finish: if it admits all that
-     * arrive in the first two seconds, the long ones are cut off.
+     * A draining router must not admit reports that it can't finish. If the router admits all
+     * reports of the first two seconds, the long reports are interrupted.
      */
     @Test
     void growsWithMaxOutputTokens() {
--- a/masticweir/src/test/java/org/masticweir/permits/PermitFleet.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitFleet.java
@@ -23,7 +23,7 @@
 import org.masticweir.time.Clock;
 
 /**
- * Simulates routers that send requests to one server with a limit, and routers that retry requests.
+ * Simulates routers that send requests to one rate-limited server, and routers that retry requests.
  * Messages between routers are delayed and may be lost. Routers can be killed, suspended and
  * partitioned.
  */
@@ -31,7 +31,10 @@
     static final ServerIncarnation SERVER =
             ServerIncarnation.ofUnknownStart(EngineId.of("i-limited"));
 
-    /** Retries that all routers together may send in ten seconds beyond their own shares. */
+    /**
+     * Maximum retries of all routers together in ten seconds, in addition to the routers' own
+     * shares.
+     */
     static final double ALLOWED_RETRIES = 150;
 
     private static final PermitKey RETRIES = PermitKey.ofRetries(ServiceName.of("reports"));
@@ -50,7 +53,10 @@
     /** Time that the restart of a router takes, in ms. */
     private static final long RESTART_MS = 1_000;
 
-    /** Maximum number of permit requests for one request: the servers that it would try. */
+    /**
+     * Maximum number of permit requests for one request: the number of servers that a router would
+     * try.
+     */
     private static final int MAX_PERMIT_REQUESTS = 2;
 
     private final Random random;
@@ -124,7 +130,8 @@
         }
 
         /**
-         * Runs {@code action} in this process when it is not suspended, unless it has restarted.
+         * Runs {@code action} once this process is not suspended; drops the action if the process
+         * has restarted.
          */
         private void runInProcess(Runnable action) {
             int then = incarnation;
@@ -251,7 +258,8 @@
     static final long COMPLIANCE_MS = 500;
 
     /**
-     * Creates routers that all know each other, with links that come up one after the other.
+     * Creates routers that are all known to each other. The links are established one after the
+     * other.
      *
      * @param messageLossRate fraction of the messages between routers that is lost
      */
@@ -287,7 +295,10 @@
         limit = perSecond;
     }
 
-    /** Gives each router its share of {@code perSecond} requests until {@code untilMs}. */
+    /**
+     * Schedules {@code perSecond} requests a second until {@code untilMs}, distributed to the
+     * routers by {@code shares}.
+     */
     void scheduleRequests(double[] shares, double perSecond, long untilMs) {
         for (int i = 0; i < shares.length; i++) {
             if (shares[i] > 0) {
@@ -298,7 +309,10 @@
         }
     }
 
-    /** Gives each router its share of {@code perSecond} retries until {@code untilMs}. */
+    /**
+     * Schedules {@code perSecond} retries a second until {@code untilMs}, distributed to the
+     * routers by {@code shares}.
+     */
     void scheduleRetries(double[] shares, double perSecond, long untilMs) {
         for (int i = 0; i < shares.length; i++) {
             if (shares[i] > 0) {
@@ -392,7 +406,10 @@
                 });
     }
 
-    /** Suspends a router's process; it handles the messages of that time when it resumes. */
+    /**
+     * Suspends a router's process. After the resume, the process handles the messages that arrived
+     * in the meantime.
+     */
     void suspend(int router, long forMs) {
         Node node = nodes.get(router);
         if (!node.isUp || node.isSuspended) {
@@ -411,7 +428,7 @@
                 });
     }
 
-    /** Partitions the first {@code count} routers from the others for a time. */
+    /** Partitions the first {@code count} routers from the other routers for {@code forMs}. */
     void partition(int count, long forMs) {
         assignPartitionSide(count, 1);
         for (Node node : nodes) {
--- a/masticweir/src/test/java/org/masticweir/permits/PermitFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitFleetTest.java
@@ -47,7 +47,7 @@
                 .count();
     }
 
-    /** Without failures. */
+    /** Runs without faults. */
     @Nested
     class WithoutFaults {
         @ParameterizedTest
@@ -79,7 +79,7 @@
             assertTrue(requests <= 95 / 2.0 + 4 * limit, requests + " permit requests a second");
         }
 
-        /** All callers use one router: it must be able to use the shares of the other routers. */
+        /** If all callers use one router, this router must get the whole limit. */
         @Test
         void permitsGoToTheRouterWithCallers() {
             double limit = 9;
@@ -110,8 +110,8 @@
         }
 
         /**
-         * A server with a limit of 0 still gets some requests, as only its answer can lift the
-         * limit.
+         * A server with a limit of 0 must still receive some requests, as only an answer can lift
+         * the limit.
          */
         @Test
         void limitOfZeroStillAllowsSomeRequests() {
@@ -209,7 +209,10 @@
             assertWithinLimit(fleet, limit);
         }
 
-        /** All routers end at once and have no limit stored until the server announces it again. */
+        /**
+         * After the simultaneous loss of all routers, no router has stored the limit until the
+         * server announces the limit again.
+         */
         @Test
         void limitIsRespectedAfterTheLossOfAllRouters() {
             double limit = 4.5;
--- a/masticweir/src/test/java/org/masticweir/permits/PermitIssuerTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/PermitIssuerTest.java
@@ -9,7 +9,7 @@
 import org.masticweir.id.EngineId;
 import org.masticweir.id.RouterId;
 
-/** Tests which requests get a permit of one rate, and how many permits are granted. */
+/** Tests which permit requests for one rate are granted, and how many. */
 class PermitIssuerTest {
     private static final PermitKey KEY =
             PermitKey.ofServer(ServerIncarnation.ofUnknownStart(EngineId.of("i-1")));
@@ -43,7 +43,7 @@
         assertEquals(1, countGrantsAtOnce(0, 60_125));
     }
 
-    /** Otherwise permits that the previous issuer has just granted would be granted again. */
+    /** Without this, permits that the previous issuer has just granted would be granted again. */
     @Test
     void grantsNoTokensFromBeforeItBecameTheIssuer() {
         assertEquals(0, countGrantsAtOnce(10_000, 10_050));
@@ -56,7 +56,7 @@
         assertEquals(0, countGrantsAtOnce(20_000, 20_050));
     }
 
-    /** Otherwise less urgent lookups would take the tokens that bookings wait for. */
+    /** Without this, less urgent lookups would consume the tokens that bookings wait for. */
     @Test
     void leavesATokenForWaitingUrgentRequests() {
         countGrantsAtOnce(0, 1_000);
@@ -67,7 +67,7 @@
         assertTrue(request(URGENT, 1_140).isGranted());
     }
 
-    /** Tokens that more urgent callers don't use must be granted to others. */
+    /** Tokens that more urgent callers don't use must be granted to less urgent requests. */
     @Test
     void grantsRemainingTokensToLessUrgentRequests() {
         countGrantsAtOnce(0, 1_000);
--- a/masticweir/src/test/java/org/masticweir/permits/ServerLimitsTest.java
+++ b/masticweir/src/test/java/org/masticweir/permits/ServerLimitsTest.java
@@ -31,7 +31,9 @@
         assertEquals(OptionalDouble.of(2.5), limits.perSecond(SERVER));
     }
 
-    /** The head of a stream that was written before the limit was set arrives after the limit. */
+    /**
+     * The headers of a stream that were sent before the limit was set may arrive after the limit.
+     */
     @Test
     void isNotLiftedByAnAnswerToAnEarlierRequest() {
         limits.recordAnswer(SERVER, FIVE_PER_SECOND, 0, 100);
--- a/masticweir/src/test/java/org/masticweir/retry/RetryTest.java
+++ b/masticweir/src/test/java/org/masticweir/retry/RetryTest.java
@@ -47,8 +47,7 @@
     @Nested
     class Policy {
         /*
-         * A lost answer must not be treated as a refusal: the engine may have run the request, and
-         * a retry at another engine would send a family the same letter twice.
+         * A lost answer must not be treated as a refusal: the engine may have run the request, and a retry at another engine could send a family the same letter twice.
          */
         @Test
         void nonIdempotentRequestThatMayHaveRunIsNotRetried() {
