--- a/masticweir/src/main/java/org/masticweir/forward/RequestWait.java
+++ b/masticweir/src/main/java/org/masticweir/forward/RequestWait.java
@@ -18,8 +18,8 @@
 
     /**
      * Divisor of the time goal that gives how long a request waits for a slot of an engine. A
-     * prefill takes less than half of the goal, so a request that waits for the other half is still
-     * answered in time.
+     * prefill takes less than half of the goal, so an answer after a wait of half the goal is still
+     * in time.
      */
     private static final int ENGINE_GOAL_DIVISOR = 2;
 
--- a/masticweir/src/main/java/org/masticweir/forward/ServerHealth.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServerHealth.java
@@ -17,11 +17,11 @@
  * Observed health of the backend servers; owned by the traffic thread.
  *
  * <p>The servers of a domain may be lost together, while the instance list contains them for
- * seconds more. Lost servers look idle, so selection by load alone would try one lost server after
- * the other, and would place copies on servers that no longer exist. If two servers of a service
- * fail in a domain within a short time, all servers of the service in that domain are therefore
- * suspect until they answer. Routers report failures to each other, because each router observes
- * only a few failures.
+ * seconds more. Lost servers look idle, so selection by load alone would try the lost servers in
+ * turn, and would place copies on servers that no longer exist. If two servers of a service fail in
+ * a domain within a short time, all servers of the service in that domain are therefore suspect
+ * until they answer. Routers report failures to each other, because each router observes only a few
+ * failures.
  */
 public final class ServerHealth {
     /** How long a server is excluded after its first failure, in ms. */
--- a/masticweir/src/main/java/org/masticweir/forward/ServerSelector.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServerSelector.java
@@ -26,7 +26,7 @@
 public final class ServerSelector {
     /**
      * Weight of a running request, in prefill tokens. Each running request lengthens a decode step
-     * by about 3 %; a prompt chunk of 200 tokens makes the step 8 times as long.
+     * by about 3 in 100; a prompt chunk of 200 tokens makes the step 8 times as long.
      */
     private static final long TOKENS_PER_REQUEST = 2_000;
 
--- a/masticweir/src/main/java/org/masticweir/permits/PermitIssuer.java
+++ b/masticweir/src/main/java/org/masticweir/permits/PermitIssuer.java
@@ -106,7 +106,7 @@
      * Decides on a permit for one use.
      *
      * @param urgency 0 is the most urgent
-     * @param rate the part of the shared rate that this router may grant, in uses a second
+     * @param rate the part of the shared rate that this router may grant
      * @param issuerSinceMs the latest time at which the issuer may have changed. Older tokens are
      *     not granted, as the previous issuer may have granted them.
      */
--- a/masticweir/src/test/java/org/masticweir/forward/ServerHealthTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerHealthTest.java
@@ -15,8 +15,8 @@
 
     /**
      * When the servers of a domain are lost together, the lost servers are still listed and rank
-     * best, because they look idle. Without the suspicion of the domain, a request is sent to one
-     * lost server after the other.
+     * best, because they look idle. Without the suspicion of the domain, a request is sent to
+     * several lost servers in turn, while its caller waits.
      */
     @Nested
     class CommonFailureOfDomain {
