--- a/masticweir/src/main/java/org/masticweir/forward/HeldPermits.java
+++ b/masticweir/src/main/java/org/masticweir/forward/HeldPermits.java
@@ -15,7 +15,7 @@
  */
 final class HeldPermits {
     /** Validity of a permit, in ms. */
-    static final long VALID_MS = 300;
+    static final long PERMIT_VALIDITY_MS = 300;
 
     private Optional<BackendServer> permittedServer = Optional.empty();
     private long serverPermitExpiresMs;
@@ -28,12 +28,13 @@
     void recordDecision(BackendServer limitedServer, boolean granted, long nowMs) {
         checkNotNull(limitedServer, "limitedServer");
         permittedServer = granted ? Optional.of(limitedServer) : Optional.empty();
-        serverPermitExpiresMs = nowMs + VALID_MS;
+        serverPermitExpiresMs = nowMs + PERMIT_VALIDITY_MS;
     }
 
     /** Records the decision on a retry permit. */
     void recordRetryDecision(boolean granted, long nowMs) {
-        retryPermitExpiresMs = granted ? OptionalLong.of(nowMs + VALID_MS) : OptionalLong.empty();
+        retryPermitExpiresMs =
+                granted ? OptionalLong.of(nowMs + PERMIT_VALIDITY_MS) : OptionalLong.empty();
     }
 
     /** Returns the rate-limited server to which the request may be sent once. */
--- a/masticweir/src/main/java/org/masticweir/forward/LoadTracker.java
+++ b/masticweir/src/main/java/org/masticweir/forward/LoadTracker.java
@@ -21,7 +21,7 @@
      * How long the request count of a server is used after its report, in ms. Later the server's
      * queue has changed.
      */
-    static final long REPORT_VALID_MS = 400;
+    static final long REPORT_VALIDITY_MS = 400;
 
     private final Map<ServerIncarnation, TrackedServer> servers = new HashMap<>();
     private final Map<RouterId, Map<ServerIncarnation, ServerLoad>> peerLoads = new HashMap<>();
@@ -120,7 +120,7 @@
         if (server == null) {
             return 0;
         }
-        boolean fresh = nowMs - server.reportedAtMs <= REPORT_VALID_MS;
+        boolean fresh = nowMs - server.reportedAtMs <= REPORT_VALIDITY_MS;
         int others = fresh ? server.reportedOtherRequests : server.peerLoad.running();
         return server.ownLoad.running() + others;
     }
@@ -138,7 +138,7 @@
     }
 
     /** Returns the engines whose load from this router has changed since the last call. */
-    public Set<ServerIncarnation> drainChanged() {
+    public Set<ServerIncarnation> drainChangedEngines() {
         Set<ServerIncarnation> drained = Set.copyOf(changedEngines);
         changedEngines.clear();
         return drained;
--- a/masticweir/src/main/java/org/masticweir/forward/ServerHealth.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServerHealth.java
@@ -188,7 +188,7 @@
     }
 
     /** Adds newly listed incarnations and removes incarnations that are no longer listed. */
-    public void updateListed(Set<ServerIncarnation> listed, long nowMs) {
+    public void updateListedServers(Set<ServerIncarnation> listed, long nowMs) {
         serverStates.keySet().retainAll(listed);
         for (ServerIncarnation incarnation : listed) {
             serverStates.computeIfAbsent(
--- a/masticweir/src/main/java/org/masticweir/forward/ServerNotices.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServerNotices.java
@@ -55,7 +55,7 @@
      * Updates the listed servers, and removes leaving servers that were unlisted for more than
      * {@link #MAX_ABSENCE_MS}.
      */
-    public void updateListed(Set<ServerIncarnation> listed, long nowMs) {
+    public void updateListedServers(Set<ServerIncarnation> listed, long nowMs) {
         leavingLastListedMs.replaceAll(
                 (server, lastListedMs) -> listed.contains(server) ? nowMs : lastListedMs);
         leavingLastListedMs
--- a/masticweir/src/main/java/org/masticweir/relay/LoadSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LoadSharing.java
@@ -79,7 +79,7 @@
 
     private void sendReports() {
         reportScheduled = false;
-        Set<ServerIncarnation> changed = loads.drainChanged();
+        Set<ServerIncarnation> changed = loads.drainChangedEngines();
         if (!changed.isEmpty()) {
             LoadUpdate update = loadUpdate(changed);
             peers.get().forEach(p -> send.accept(p, update));
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
@@ -336,8 +336,8 @@
         thread.execute(
                 () -> {
                     loads.retainServers(present);
-                    health.updateListed(present, clock.nowMs());
-                    serverNotices.updateListed(present, clock.nowMs());
+                    health.updateListedServers(present, clock.nowMs());
+                    serverNotices.updateListedServers(present, clock.nowMs());
                     losses.updateListed(present);
                     limits.retainServers(present);
                 });
--- a/masticweir/src/test/java/org/masticweir/forward/EngineOverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/EngineOverloadTest.java
@@ -34,7 +34,7 @@
     private static final long END_MS = 12_000;
 
     /** Results of a wait policy. */
-    private record Outcome(int served, int refused, int overtaken) {}
+    private record Outcome(int servedCount, int refusedCount, int overtakenCount) {}
 
     /** Action of the simulation at a given time. */
     private record ScheduledAction(long atMs, Runnable action) {}
@@ -134,12 +134,13 @@
         void isServedInOrderWithFewerRefusals() {
             Outcome withQueue = replay(EngineOverloadTest.this::withQueue);
             Outcome withoutQueue = new EngineOverloadTest().replayWithoutQueue();
-            assertEquals(0, withQueue.overtaken(), "requests served before an earlier arrival");
-            assertTrue(withoutQueue.overtaken() > 0, "without a queue: " + withoutQueue);
+            assertEquals(
+                    0, withQueue.overtakenCount(), "requests served before an earlier arrival");
+            assertTrue(withoutQueue.overtakenCount() > 0, "without a queue: " + withoutQueue);
             assertTrue(
-                    withQueue.refused() < withoutQueue.refused(),
+                    withQueue.refusedCount() < withoutQueue.refusedCount(),
                     "with a queue: " + withQueue + ", " + withoutQueue);
-            assertEquals(REPORTS, withQueue.served() + withQueue.refused());
+            assertEquals(REPORTS, withQueue.servedCount() + withQueue.refusedCount());
         }
     }
 
--- a/masticweir/src/test/java/org/masticweir/forward/ForwardFixture.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ForwardFixture.java
@@ -51,12 +51,12 @@
         for (int i = 1; i <= count; i++) {
             servers.add(server(domain + "-" + i, domain));
         }
-        updateListed(0);
+        updateListedServers(0);
         return this;
     }
 
-    void updateListed(long nowMs) {
-        health.updateListed(
+    void updateListedServers(long nowMs) {
+        health.updateListedServers(
                 Set.copyOf(servers.stream().map(BackendServer::incarnation).toList()), nowMs);
     }
 
--- a/masticweir/src/test/java/org/masticweir/forward/LimitedServersTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/LimitedServersTest.java
@@ -16,7 +16,7 @@
 class LimitedServersTest {
     private final ForwardFixture fixture = new ForwardFixture().domain("a", 2);
 
-    private void limit(List<BackendServer> servers) {
+    private void announceLimit(List<BackendServer> servers) {
         servers.forEach(
                 s -> fixture.limits.recordAnswer(s.incarnation(), AnnouncedLimit.of(5), 0, 0));
     }
@@ -27,7 +27,7 @@
 
     @Test
     void areUsedAfterUnlimitedServers() {
-        limit(fixture.servers.subList(0, 1));
+        announceLimit(fixture.servers.subList(0, 1));
         for (int i = 0; i < 20; i++) {
             Step step = fixture.stateMachine(Repeatability.MUTATING, 1).next(0);
             assertEquals(fixture.servers.get(1), assertInstanceOf(Step.Send.class, step).server());
@@ -36,7 +36,7 @@
 
     @Test
     void areSentARequestOnlyWithAPermit() {
-        limit(fixture.servers);
+        announceLimit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 1);
         BackendServer server = asAcquirePermit(machine.next(0)).server();
         Step.Send send =
@@ -46,7 +46,7 @@
 
     @Test
     void areSkippedIfPermitIsDenied() {
-        limit(fixture.servers);
+        announceLimit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 3);
         BackendServer first = asAcquirePermit(machine.next(0)).server();
         block(first, 400);
@@ -57,7 +57,7 @@
     /** A booking must be refused at once if no server can accept the booking in time. */
     @Test
     void areAllBlockedTooLongAndRequestIsRefusedAtOnce() {
-        limit(fixture.servers);
+        announceLimit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 1);
         fixture.servers.forEach(s -> block(s, 3_000));
         Step.End end = assertInstanceOf(Step.End.class, machine.next(0));
@@ -68,7 +68,7 @@
 
     @Test
     void areAwaitedIfPermitIsAvailableInTime() {
-        limit(fixture.servers);
+        announceLimit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 1);
         fixture.servers.forEach(s -> block(s, 100));
         assertInstanceOf(Step.Wait.class, machine.next(0));
@@ -78,7 +78,7 @@
     /** Partly delivered reports get permits before new reports, and new reports before retries. */
     @Test
     void serveStartedRequestsFirst() {
-        limit(fixture.servers);
+        announceLimit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 3);
         Step.AcquirePermit fresh = asAcquirePermit(machine.next(0));
         assertInstanceOf(Step.Send.class, machine.onPermitDecision(fresh.server(), true, 5));
--- a/masticweir/src/test/java/org/masticweir/forward/PausingServersTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/PausingServersTest.java
@@ -19,7 +19,7 @@
 
     private final ForwardFixture fixture = new ForwardFixture().domain("a", 2);
 
-    private void pause(BackendServer server, long ms) {
+    private void announcePause(BackendServer server, long ms) {
         fixture.notices.recordPause(server.incarnation(), ms, 0);
     }
 
@@ -29,7 +29,7 @@
 
     @Test
     void otherServersAreUsedEvenIfBusy() {
-        pause(fixture.servers.get(0), PAUSE_MS);
+        announcePause(fixture.servers.get(0), PAUSE_MS);
         fixture.loads.recordServerReport(fixture.servers.get(1).incarnation(), 96, 0);
         assertEquals(
                 fixture.servers.get(1),
@@ -38,7 +38,7 @@
 
     @Test
     void requestWaitsForEndOfShortPause() {
-        fixture.servers.forEach(s -> pause(s, 100));
+        fixture.servers.forEach(s -> announcePause(s, 100));
         RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 1);
         assertInstanceOf(Step.Wait.class, machine.next(0));
         assertInstanceOf(Step.Send.class, machine.next(100));
@@ -46,7 +46,7 @@
 
     @Test
     void requestIsRefusedAtOnceIfAllPauseForLong() {
-        fixture.servers.forEach(s -> pause(s, PAUSE_MS));
+        fixture.servers.forEach(s -> announcePause(s, PAUSE_MS));
         Step.End end =
                 assertInstanceOf(
                         Step.End.class, fixture.stateMachine(Repeatability.MUTATING, 1).next(0));
@@ -57,7 +57,7 @@
 
     @Test
     void requestIsRefusedAtOnceIfSomePauseAndOthersLeave() {
-        pause(fixture.servers.get(0), PAUSE_MS);
+        announcePause(fixture.servers.get(0), PAUSE_MS);
         fixture.notices.recordLeaving(fixture.servers.get(1).incarnation(), 0);
         assertInstanceOf(Step.End.class, fixture.stateMachine(Repeatability.MUTATING, 1).next(0));
     }
@@ -69,14 +69,14 @@
         Step.Send first = assertInstanceOf(Step.Send.class, machine.next(0));
         BackendServer holder = first.copyHolder().orElseThrow();
         machine.onEvent(1);
-        pause(holder, PAUSE_MS);
+        announcePause(holder, PAUSE_MS);
         assertNotEquals(holder, selectedServer(machine.onSendLost(first.server(), 10)));
     }
 
     @Test
     void copyIsNotPlacedOnPausingServer() {
         fixture.domain("b", 1);
-        pause(fixture.byId("b-1"), PAUSE_MS);
+        announcePause(fixture.byId("b-1"), PAUSE_MS);
         Optional<BackendServer> holder =
                 fixture.selector.selectCopyHolder(
                         ImmutableList.copyOf(fixture.servers),
@@ -89,7 +89,7 @@
 
     @Test
     void pausingServerIsNotQueriedForCachedPrompt() {
-        pause(fixture.servers.get(0), PAUSE_MS);
+        announcePause(fixture.servers.get(0), PAUSE_MS);
         Step.QueryPromptCaches ask =
                 assertInstanceOf(
                         Step.QueryPromptCaches.class,
--- a/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineTest.java
@@ -77,7 +77,7 @@
         private void exhaustBudget() {
             while (permits > 0) {
                 retriedOnce(0).close();
-                fixture.updateListed(0);
+                fixture.updateListedServers(0);
                 fixture.servers.forEach(s -> fixture.health.recordAnswer(s.incarnation(), 0));
             }
             while (fixture.retryBudgets.tryRetry(ForwardFixture.SERVICE, 0)) {
--- a/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineWaitTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineWaitTest.java
@@ -47,7 +47,8 @@
         fixture.servers.clear();
         assertInstanceOf(Step.Wait.class, machine.onRetryDecision(true, 200));
         fixture.servers.addAll(all);
-        assertInstanceOf(Step.AcquireRetryPermit.class, machine.next(200 + HeldPermits.VALID_MS));
+        assertInstanceOf(
+                Step.AcquireRetryPermit.class, machine.next(200 + HeldPermits.PERMIT_VALIDITY_MS));
     }
 
     @Test
@@ -57,7 +58,7 @@
         fixture.servers.clear();
         assertInstanceOf(Step.Wait.class, machine.onRetryDecision(true, 200));
         fixture.servers.addAll(all);
-        asSend(machine.next(200 + HeldPermits.VALID_MS - 1));
+        asSend(machine.next(200 + HeldPermits.PERMIT_VALIDITY_MS - 1));
     }
 
     /**
--- a/masticweir/src/test/java/org/masticweir/forward/ServerHealthTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerHealthTest.java
@@ -49,7 +49,7 @@
         @Test
         void excludesIncarnationListedSince() {
             fixture.servers.add(ForwardFixture.server("a-9", "a"));
-            fixture.updateListed(2_000);
+            fixture.updateListedServers(2_000);
             assertFalse(health.isDown(fixture.byId("a-9"), 2_001));
         }
     }
--- a/masticweir/src/test/java/org/masticweir/forward/ServerIncarnationTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerIncarnationTest.java
@@ -31,7 +31,7 @@
     private void start(BackendServer server, long nowMs) {
         fixture.servers.removeIf(s -> s.id().equals(server.id()));
         fixture.servers.add(server);
-        fixture.updateListed(nowMs);
+        fixture.updateListedServers(nowMs);
     }
 
     /** Failures apply to one incarnation only. */
--- a/masticweir/src/test/java/org/masticweir/forward/ServerNoticesPropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerNoticesPropertyTest.java
@@ -133,9 +133,9 @@
             } else if (event < 12) {
                 serverPausedUntilMs.put(server, nowMs + 200 + random.nextInt(3_000));
             } else if (event < 16) {
-                forward.notices.updateListed(Set.of(), nowMs);
+                forward.notices.updateListedServers(Set.of(), nowMs);
             } else if (event < 20) {
-                forward.notices.updateListed(
+                forward.notices.updateListedServers(
                         forward.servers.stream()
                                 .map(BackendServer::incarnation)
                                 .collect(Collectors.toSet()),
--- a/masticweir/src/test/java/org/masticweir/forward/ServerNoticesTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerNoticesTest.java
@@ -39,17 +39,17 @@
         @Test
         void survivesLapseOfEntry() {
             notices.recordLeaving(FIRST, 0);
-            notices.updateListed(Set.of(FIRST), 5_000);
-            notices.updateListed(Set.of(), 5_000 + ServerNotices.MAX_ABSENCE_MS);
+            notices.updateListedServers(Set.of(FIRST), 5_000);
+            notices.updateListedServers(Set.of(), 5_000 + ServerNotices.MAX_ABSENCE_MS);
             assertTrue(notices.isLeaving(FIRST));
-            notices.updateListed(Set.of(FIRST), 6_000 + ServerNotices.MAX_ABSENCE_MS);
+            notices.updateListedServers(Set.of(FIRST), 6_000 + ServerNotices.MAX_ABSENCE_MS);
             assertTrue(notices.isLeaving(FIRST));
         }
 
         @Test
         void isForgottenAfterMaxAbsence() {
             notices.recordLeaving(FIRST, 0);
-            notices.updateListed(Set.of(), ServerNotices.MAX_ABSENCE_MS + 1);
+            notices.updateListedServers(Set.of(), ServerNotices.MAX_ABSENCE_MS + 1);
             assertFalse(notices.isLeaving(FIRST));
         }
     }
