--- a/masticweir/src/main/java/org/masticweir/forward/RequestWait.java
+++ b/masticweir/src/main/java/org/masticweir/forward/RequestWait.java
@@ -5,11 +5,12 @@
 import java.util.Optional;
 
 /**
- * Waiting of one request for a server, and the reasons to refuse it; owned by the traffic thread.
+ * Wait of one request for a server; owned by the traffic thread. Refuses the request if the wait is
+ * useless.
  *
- * <p>Unsent requests for engines wait in a {@link WaitQueue}. All others check for a server on
- * their own: plain requests because they wait only briefly, and retries because each has other
- * servers left to try.
+ * <p>Unsent requests for engines wait in a {@link WaitQueue}. Plain requests check for a server
+ * without the queue, because they wait only briefly. Retries do the same, because each retry has a
+ * different set of untried servers.
  */
 final class RequestWait implements AutoCloseable {
     /** Divisor of the time goal that gives how long a plain request waits before it is refused. */
@@ -17,14 +18,14 @@
 
     /**
      * Divisor of the time goal that gives how long a request waits for a slot of an engine. A
-     * prefill takes less than half of the goal, so a request that waits for the other half is still
-     * answered in time.
+     * prefill takes less than half of the goal, so an answer after a wait of half the goal is still
+     * in time.
      */
     private static final int ENGINE_GOAL_DIVISOR = 2;
 
     private final RequestParameters request;
     private final WaitQueue queue;
-    private Optional<WaitQueue.Entry> entry = Optional.empty();
+    private Optional<WaitQueue.Entry> queueEntry = Optional.empty();
 
     RequestWait(RequestParameters request, WaitQueue queue) {
         this.request = checkNotNull(request, "request");
@@ -32,32 +33,35 @@
     }
 
     /**
-     * Returns whether other requests must be served first, even if a server could accept this one.
+     * Returns whether other requests must be sent before this request, even if a server could
+     * accept this request.
      */
-    boolean mustWait(int sends, long nowMs) {
-        if (!usesQueue(sends)) {
+    boolean mustWait(int sendCount, long nowMs) {
+        if (!usesQueue(sendCount)) {
             return false;
         }
-        return entry.isPresent() ? !queue.isFirst(entry.get(), nowMs) : countAhead(nowMs) > 0;
+        return queueEntry.isPresent()
+                ? !queue.isFirst(queueEntry.get(), nowMs)
+                : countAhead(nowMs) > 0;
     }
 
     /**
-     * Adds the request to the queue if it belongs there, or returns why waiting can't help.
+     * Adds an unsent engine request to the queue, or returns the reason to refuse the request.
      *
-     * @param running requests of this router that run at the servers of the service
+     * @param runningRequests requests of this router that run at the servers of the service
      */
-    Optional<String> enterQueueOrRefuse(int sends, int running, long nowMs) {
+    Optional<String> enterQueueOrRefuse(int sendCount, int runningRequests, long nowMs) {
         if (hasTimedOut(nowMs)) {
             return Optional.of("no server is free");
         }
-        if (usesQueue(sends) && entry.isEmpty()) {
-            // A run lasts about as long as the goal of its first event, or longer.
+        if (usesQueue(sendCount) && queueEntry.isEmpty()) {
+            // A run lasts at least about as long as the time goal of the first event.
             long runMs = request.route().goalMs();
-            if (countAhead(nowMs) >= WaitQueue.capacity(running, maxWaitMs(), runMs)) {
+            if (countAhead(nowMs) >= WaitQueue.capacity(runningRequests, maxWaitMs(), runMs)) {
                 return Optional.of("too many wait");
             }
             long expiresMs = request.receivedMs() + maxWaitMs();
-            entry =
+            queueEntry =
                     Optional.of(
                             queue.add(request.service(), request.route().priority(), expiresMs));
         }
@@ -72,8 +76,8 @@
     /** Leaves the queue. */
     @Override
     public void close() {
-        entry.ifPresent(queue::remove);
-        entry = Optional.empty();
+        queueEntry.ifPresent(queue::remove);
+        queueEntry = Optional.empty();
     }
 
     private int countAhead(long nowMs) {
@@ -85,7 +89,7 @@
                 / (request.engine().isPresent() ? ENGINE_GOAL_DIVISOR : PLAIN_GOAL_DIVISOR);
     }
 
-    private boolean usesQueue(int sends) {
-        return request.engine().isPresent() && sends == 0;
+    private boolean usesQueue(int sendCount) {
+        return request.engine().isPresent() && sendCount == 0;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/forward/ServerHealth.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ServerHealth.java
@@ -17,40 +17,41 @@
  * Observed health of the backend servers; owned by the traffic thread.
  *
  * <p>The servers of a domain may be lost together, while the instance list contains them for
- * seconds more. They are idle then, so selection by load alone would send everything to them, one
- * after the other, and place copies on servers that no longer exist. If two servers of a service
- * and domain fail at one moment, all of its servers there are therefore suspect, apart from those
- * that answer afterwards. Routers report failures to each other, as each sees only a few of them.
+ * seconds more. Lost servers look idle, so selection by load alone would try the lost servers in
+ * turn, and would place copies on servers that no longer exist. If two servers of a service fail in
+ * a domain within a short time, all servers of the service in that domain are therefore suspect
+ * until they answer. Routers report failures to each other, because each router observes only a few
+ * failures.
  */
 public final class ServerHealth {
     /** How long a server is excluded after its first failure, in ms. */
     static final long FIRST_DOWN_MS = 300;
 
     /**
-     * Longest exclusion after a failure, in ms: a recovered server must not stay idle for seconds.
+     * Maximum exclusion after a failure, in ms: a recovered server must not stay idle for seconds.
      */
     static final long MAX_DOWN_MS = 1_200;
 
     private static final int MAX_DOUBLINGS = 2;
 
-    /** Failures of two servers within this time have a common cause, in ms. */
+    /** Time within which failures of two servers are attributed to a common cause, in ms. */
     static final long COMMON_CAUSE_WINDOW_MS = 250;
 
     /** How long the servers of a suspect domain are excluded, in ms. */
     static final long DOMAIN_DOWN_MS = 1_000;
 
     /**
-     * How long a failed server is deprioritized, in ms: until its entry has lapsed, which takes
-     * three of its heartbeats.
+     * How long a failed server is deprioritized, in ms. The entry of a lost server expires within
+     * this time, after three missed heartbeats.
      */
     static final long RECENT_FAILURE_MS = 5_000;
 
-    /** How long a server is deprioritized after the first refusal in a row, in ms. */
+    /** How long a server is deprioritized after the first of consecutive refusals, in ms. */
     static final long FIRST_DEPRIORITIZED_MS = 300;
 
     private static final int MAX_REFUSAL_DOUBLINGS = 4;
 
-    private final Map<ServerIncarnation, ServerState> states = new HashMap<>();
+    private final Map<ServerIncarnation, ServerState> serverStates = new HashMap<>();
     private final Map<ServiceInDomain, Suspicion> suspicions = new HashMap<>();
     private Map<ServerIncarnation, Boolean> pendingReports = new LinkedHashMap<>();
 
@@ -61,23 +62,23 @@
         }
     }
 
-    private record Failure(ServerIncarnation server, long atMs) {}
+    private record Failure(ServerIncarnation server, long failedMs) {}
 
     /** Suspicion that all servers of a service in a domain are lost. */
     private static final class Suspicion {
-        private final Deque<Failure> recent = new ArrayDeque<>();
-        private long atMs = Long.MIN_VALUE / 2;
+        private final Deque<Failure> recentFailures = new ArrayDeque<>();
+        private long suspectedMs = Long.MIN_VALUE / 2;
     }
 
     /** Observed state of one server. */
     private static final class ServerState {
-        private int failures;
-        private long failedMs = Long.MIN_VALUE / 2;
+        private int failureCount;
+        private long lastFailureMs = Long.MIN_VALUE / 2;
         private long downUntilMs = Long.MIN_VALUE;
-        private int refusals;
+        private int refusalCount;
         private long deprioritizedUntilMs = Long.MIN_VALUE;
-        private long answeredMs = Long.MIN_VALUE / 2;
-        private long listedMs = Long.MIN_VALUE / 2;
+        private long lastAnswerMs = Long.MIN_VALUE / 2;
+        private long firstListedMs = Long.MIN_VALUE / 2;
         private boolean isGone;
     }
 
@@ -97,16 +98,16 @@
     }
 
     /** Records that the incarnation of a server has ended. */
-    public void recordGone(BackendServer server) {
+    public void recordServerGone(BackendServer server) {
         pendingReports.put(server.incarnation(), true);
-        state(server.incarnation()).isGone = true;
+        serverState(server.incarnation()).isGone = true;
     }
 
     /** Records a failure that a peer reports. */
-    public void recordPeerReport(BackendServer server, boolean gone, long nowMs) {
+    public void recordPeerReport(BackendServer server, boolean isGone, long nowMs) {
         checkNotNull(server, "server");
-        if (gone) {
-            state(server.incarnation()).isGone = true;
+        if (isGone) {
+            serverState(server.incarnation()).isGone = true;
         } else {
             addFailure(server, nowMs);
         }
@@ -115,15 +116,16 @@
     /**
      * Records a refusal and returns how long the server is deprioritized, in ms.
      *
-     * <p>A server that refuses every request at once is idle, so selection by load alone would send
-     * it more requests than any other server.
+     * <p>A server that immediately refuses every request looks idle. Selection by load alone would
+     * prefer this server to all others.
      */
     public long recordRefusal(ServerIncarnation incarnation, long nowMs) {
-        ServerState state = state(incarnation);
+        ServerState state = serverState(incarnation);
         clearFailures(state, nowMs);
-        long durationMs = FIRST_DEPRIORITIZED_MS << Math.min(state.refusals, MAX_REFUSAL_DOUBLINGS);
+        long durationMs =
+                FIRST_DEPRIORITIZED_MS << Math.min(state.refusalCount, MAX_REFUSAL_DOUBLINGS);
         if (nowMs >= state.deprioritizedUntilMs) {
-            state.refusals++;
+            state.refusalCount++;
             state.deprioritizedUntilMs = nowMs + durationMs;
         }
         return state.deprioritizedUntilMs - nowMs;
@@ -131,53 +133,53 @@
 
     /** Records that a server answered or continued an answer. */
     public void recordAnswer(ServerIncarnation incarnation, long nowMs) {
-        ServerState state = state(incarnation);
+        ServerState state = serverState(incarnation);
         clearFailures(state, nowMs);
-        state.refusals = 0;
+        state.refusalCount = 0;
         state.deprioritizedUntilMs = Long.MIN_VALUE;
     }
 
     private static void clearFailures(ServerState state, long nowMs) {
-        state.failures = 0;
-        state.failedMs = Long.MIN_VALUE / 2;
+        state.failureCount = 0;
+        state.lastFailureMs = Long.MIN_VALUE / 2;
         state.downUntilMs = Long.MIN_VALUE;
-        state.answeredMs = nowMs;
+        state.lastAnswerMs = nowMs;
     }
 
     /** Returns whether a server must not be sent any request now. */
     public boolean isDown(BackendServer server, long nowMs) {
-        ServerState state = states.get(server.incarnation());
+        ServerState state = serverStates.get(server.incarnation());
         if (state != null && (state.isGone || nowMs < state.downUntilMs)) {
             return true;
         }
         Suspicion suspicion = suspicions.get(ServiceInDomain.of(server));
         return suspicion != null
-                && nowMs - suspicion.atMs < DOMAIN_DOWN_MS
+                && nowMs - suspicion.suspectedMs < DOMAIN_DOWN_MS
                 && isSuspect(state, suspicion);
     }
 
     /** Returns whether other servers are preferred for requests. */
     public boolean isDeprioritized(BackendServer server, long nowMs) {
-        ServerState state = states.get(server.incarnation());
+        ServerState state = serverStates.get(server.incarnation());
         return (state != null && nowMs < state.deprioritizedUntilMs)
                 || hasRecentlyFailed(server, nowMs);
     }
 
-    /** Returns whether a server may have ended and should not hold copies. */
+    /** Returns whether a server may have ended. Copies should not be placed on such a server. */
     public boolean hasRecentlyFailed(BackendServer server, long nowMs) {
-        ServerState state = states.get(server.incarnation());
-        if (state != null && (state.isGone || nowMs - state.failedMs < RECENT_FAILURE_MS)) {
+        ServerState state = serverStates.get(server.incarnation());
+        if (state != null && (state.isGone || nowMs - state.lastFailureMs < RECENT_FAILURE_MS)) {
             return true;
         }
         Suspicion suspicion = suspicions.get(ServiceInDomain.of(server));
         return suspicion != null
-                && nowMs - suspicion.atMs < RECENT_FAILURE_MS
+                && nowMs - suspicion.suspectedMs < RECENT_FAILURE_MS
                 && isSuspect(state, suspicion);
     }
 
     /**
-     * Returns the servers whose failure this router observed since the last call, and whether each
-     * of them is gone.
+     * Returns the servers whose failure this router observed since the last call. The value is true
+     * if the server is gone.
      */
     public Map<ServerIncarnation, Boolean> drainFailureReports() {
         Map<ServerIncarnation, Boolean> drained = pendingReports;
@@ -185,51 +187,51 @@
         return drained;
     }
 
-    /** Adds incarnations that are new in the list and forgets those that are not listed. */
-    public void updateListed(Set<ServerIncarnation> listed, long nowMs) {
-        states.keySet().retainAll(listed);
+    /** Adds newly listed incarnations and removes incarnations that are no longer listed. */
+    public void updateListedServers(Set<ServerIncarnation> listed, long nowMs) {
+        serverStates.keySet().retainAll(listed);
         for (ServerIncarnation incarnation : listed) {
-            states.computeIfAbsent(
+            serverStates.computeIfAbsent(
                     incarnation,
                     i -> {
                         ServerState state = new ServerState();
-                        state.listedMs = nowMs;
+                        state.firstListedMs = nowMs;
                         return state;
                     });
         }
     }
 
     private void addFailure(BackendServer server, long nowMs) {
-        ServerState state = state(server.incarnation());
+        ServerState state = serverState(server.incarnation());
         if (nowMs >= state.downUntilMs) {
-            int doublings = Math.min(state.failures, MAX_DOUBLINGS);
+            int doublings = Math.min(state.failureCount, MAX_DOUBLINGS);
             state.downUntilMs = nowMs + Math.min(MAX_DOWN_MS, FIRST_DOWN_MS << doublings);
-            state.failures++;
+            state.failureCount++;
         }
-        state.failedMs = nowMs;
+        state.lastFailureMs = nowMs;
         Suspicion suspicion =
                 suspicions.computeIfAbsent(ServiceInDomain.of(server), p -> new Suspicion());
-        suspicion.recent.removeIf(
+        suspicion.recentFailures.removeIf(
                 f ->
-                        nowMs - f.atMs() > COMMON_CAUSE_WINDOW_MS
+                        nowMs - f.failedMs() > COMMON_CAUSE_WINDOW_MS
                                 || f.server().equals(server.incarnation()));
-        if (!suspicion.recent.isEmpty()) {
-            suspicion.atMs = nowMs;
+        if (!suspicion.recentFailures.isEmpty()) {
+            suspicion.suspectedMs = nowMs;
         }
-        suspicion.recent.add(new Failure(server.incarnation(), nowMs));
+        suspicion.recentFailures.add(new Failure(server.incarnation(), nowMs));
     }
 
     /**
-     * Returns whether the suspicion applies: not to a server that has answered since, nor to an
-     * incarnation that was listed since.
+     * Returns whether the suspicion applies to a server. A server that answered or was first listed
+     * after the suspicion is not suspect.
      */
     private static boolean isSuspect(ServerState state, Suspicion suspicion) {
         return state != null
-                && state.answeredMs < suspicion.atMs
-                && state.listedMs < suspicion.atMs;
+                && state.lastAnswerMs < suspicion.suspectedMs
+                && state.firstListedMs < suspicion.suspectedMs;
     }
 
-    private ServerState state(ServerIncarnation incarnation) {
-        return states.computeIfAbsent(incarnation, i -> new ServerState());
+    private ServerState serverState(ServerIncarnation incarnation) {
+        return serverStates.computeIfAbsent(incarnation, i -> new ServerState());
     }
 }
--- a/masticweir/src/test/java/org/masticweir/forward/EngineOverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/EngineOverloadTest.java
@@ -17,23 +17,24 @@
 import org.masticweir.catalog.BackendServer;
 
 /**
- * Simulates a burst while half of the engines are lost. Without a queue, callers of reports are
- * refused although engines end a prefill every hundred ms, and the requests that waited longest are
- * refused first.
+ * Simulates a burst of reports while half of the engines are lost. Without a queue, reports are
+ * refused although an engine ends a prefill every hundred ms, and the requests that have waited
+ * longest are refused first.
  *
  * <p>Eight engines process 8 prompts a second; 12 reports a second arrive for 6 s. A prefill takes
- * 1.03 s alone and twice as long beside another one; a report runs for 5.5 s.
+ * 1.03 s alone at an engine, and twice as long concurrently with another prefill. A report runs for
+ * 5.5 s.
  */
 class EngineOverloadTest {
-    private static final long GAP_MS = 83;
+    private static final long ARRIVAL_INTERVAL_MS = 83;
     private static final int REPORTS = 72;
     private static final long RUN_MS = 5_500;
-    private static final long READ_MS = 2_060;
+    private static final long PREFILL_MS = 2_060;
     private static final long TICK_MS = 10;
     private static final long END_MS = 12_000;
 
-    /** Results of a policy. */
-    private record Outcome(int served, int refused, int overtaken) {}
+    /** Results of a wait policy. */
+    private record Outcome(int servedCount, int refusedCount, int overtakenCount) {}
 
     /** Action of the simulation at a given time. */
     private record ScheduledAction(long atMs, Runnable action) {}
@@ -76,7 +77,7 @@
             while (!scheduledActions.isEmpty() && scheduledActions.peek().atMs() <= now) {
                 scheduledActions.poll().action().run();
             }
-            if (arrived < REPORTS && now >= arrived * GAP_MS) {
+            if (arrived < REPORTS && now >= arrived * ARRIVAL_INTERVAL_MS) {
                 waiting.add(new Report(arrived, now, fixture.stateMachine(parametersAt(now))));
                 arrived++;
             }
@@ -90,7 +91,7 @@
                     boolean isOvertaking = waiting.stream().anyMatch(w -> w.number < report.number);
                     overtaken += isOvertaking ? 1 : 0;
                     LoadEntry entry = LoadEntry.open(fixture.loads, send, ForwardFixture.PROMPT);
-                    scheduledActions.add(new ScheduledAction(now + READ_MS, entry::endPrefill));
+                    scheduledActions.add(new ScheduledAction(now + PREFILL_MS, entry::endPrefill));
                     scheduledActions.add(new ScheduledAction(now + RUN_MS, entry::close));
                     each.remove();
                 } else if (step instanceof Step.End) {
@@ -102,7 +103,7 @@
         return new Outcome(served, refused, overtaken);
     }
 
-    /** Each report checks for a free engine on its own, for an eighth of its goal. */
+    /** Each report checks for a free engine without a queue, for an eighth of its time goal. */
     private Step withoutQueue(Report report, long nowMs) {
         if (nowMs - report.arrivedMs > ForwardFixture.GOAL_MS / 8) {
             return report.stateMachine.endAtDeadline();
@@ -126,19 +127,20 @@
         return report.stateMachine.next(nowMs);
     }
 
-    /** Compares both policies under the same load. */
+    /** Compares the wait queue with unordered waiting under the same load. */
     @Nested
     class Burst {
         @Test
         void isServedInOrderWithFewerRefusals() {
             Outcome withQueue = replay(EngineOverloadTest.this::withQueue);
             Outcome withoutQueue = new EngineOverloadTest().replayWithoutQueue();
-            assertEquals(0, withQueue.overtaken(), "requests served before an earlier arrival");
-            assertTrue(withoutQueue.overtaken() > 0, "without a queue: " + withoutQueue);
+            assertEquals(
+                    0, withQueue.overtakenCount(), "requests served before an earlier arrival");
+            assertTrue(withoutQueue.overtakenCount() > 0, "without a queue: " + withoutQueue);
             assertTrue(
-                    withQueue.refused() < withoutQueue.refused(),
+                    withQueue.refusedCount() < withoutQueue.refusedCount(),
                     "with a queue: " + withQueue + ", " + withoutQueue);
-            assertEquals(REPORTS, withQueue.served() + withQueue.refused());
+            assertEquals(REPORTS, withQueue.servedCount() + withQueue.refusedCount());
         }
     }
 
--- a/masticweir/src/test/java/org/masticweir/forward/LimitedServersTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/LimitedServersTest.java
@@ -12,22 +12,22 @@
 import org.masticweir.error.Verdict;
 import org.masticweir.permits.AnnouncedLimit;
 
-/** Tests server selection when servers limit the rate of requests. */
+/** Tests server selection among servers with a rate limit. */
 class LimitedServersTest {
     private final ForwardFixture fixture = new ForwardFixture().domain("a", 2);
 
-    private void limit(List<BackendServer> servers) {
+    private void announceLimit(List<BackendServer> servers) {
         servers.forEach(
                 s -> fixture.limits.recordAnswer(s.incarnation(), AnnouncedLimit.of(5), 0, 0));
     }
 
-    private static Step.AcquirePermit permit(Step step) {
+    private static Step.AcquirePermit asAcquirePermit(Step step) {
         return assertInstanceOf(Step.AcquirePermit.class, step);
     }
 
     @Test
     void areUsedAfterUnlimitedServers() {
-        limit(fixture.servers.subList(0, 1));
+        announceLimit(fixture.servers.subList(0, 1));
         for (int i = 0; i < 20; i++) {
             Step step = fixture.stateMachine(Repeatability.MUTATING, 1).next(0);
             assertEquals(fixture.servers.get(1), assertInstanceOf(Step.Send.class, step).server());
@@ -36,9 +36,9 @@
 
     @Test
     void areSentARequestOnlyWithAPermit() {
-        limit(fixture.servers);
+        announceLimit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 1);
-        BackendServer server = permit(machine.next(0)).server();
+        BackendServer server = asAcquirePermit(machine.next(0)).server();
         Step.Send send =
                 assertInstanceOf(Step.Send.class, machine.onPermitDecision(server, true, 5));
         assertEquals(server, send.server());
@@ -46,18 +46,18 @@
 
     @Test
     void areSkippedIfPermitIsDenied() {
-        limit(fixture.servers);
+        announceLimit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 3);
-        BackendServer first = permit(machine.next(0)).server();
+        BackendServer first = asAcquirePermit(machine.next(0)).server();
         block(first, 400);
-        BackendServer second = permit(machine.onPermitDecision(first, false, 5)).server();
+        BackendServer second = asAcquirePermit(machine.onPermitDecision(first, false, 5)).server();
         assertNotEquals(first, second);
     }
 
-    /** A booking that no server can accept in time must be refused at once. */
+    /** A booking must be refused at once if no server can accept the booking in time. */
     @Test
     void areAllBlockedTooLongAndRequestIsRefusedAtOnce() {
-        limit(fixture.servers);
+        announceLimit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 1);
         fixture.servers.forEach(s -> block(s, 3_000));
         Step.End end = assertInstanceOf(Step.End.class, machine.next(0));
@@ -68,24 +68,24 @@
 
     @Test
     void areAwaitedIfPermitIsAvailableInTime() {
-        limit(fixture.servers);
+        announceLimit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 1);
         fixture.servers.forEach(s -> block(s, 100));
         assertInstanceOf(Step.Wait.class, machine.next(0));
-        permit(machine.next(100));
+        asAcquirePermit(machine.next(100));
     }
 
-    /** Partly delivered reports precede new ones, and new ones precede retries. */
+    /** Partly delivered reports get permits before new reports, and new reports before retries. */
     @Test
     void serveStartedRequestsFirst() {
-        limit(fixture.servers);
+        announceLimit(fixture.servers);
         RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 3);
-        Step.AcquirePermit fresh = permit(machine.next(0));
+        Step.AcquirePermit fresh = asAcquirePermit(machine.next(0));
         assertInstanceOf(Step.Send.class, machine.onPermitDecision(fresh.server(), true, 5));
-        Step.AcquirePermit again = permit(machine.onRefused(10));
+        Step.AcquirePermit again = asAcquirePermit(machine.onRefused(10));
         assertInstanceOf(Step.Send.class, machine.onPermitDecision(again.server(), true, 15));
         machine.onEvent(1);
-        Step.AcquirePermit begun = permit(machine.onSendLost(again.server(), 20));
+        Step.AcquirePermit begun = asAcquirePermit(machine.onSendLost(again.server(), 20));
         assertTrue(begun.urgency() < fresh.urgency());
         assertTrue(fresh.urgency() < again.urgency());
     }
--- a/masticweir/src/test/java/org/masticweir/forward/ServerHealthTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerHealthTest.java
@@ -14,9 +14,9 @@
     private final ServerHealth health = fixture.health;
 
     /**
-     * When a domain loses its servers together, they are still listed and, being idle, rank best.
-     * Without the suspicion of the domain, a caller waits while its request goes from one lost
-     * server to the next.
+     * When the servers of a domain are lost together, the lost servers are still listed and rank
+     * best, because they look idle. Without the suspicion of the domain, a request is sent to
+     * several lost servers in turn, while its caller waits.
      */
     @Nested
     class CommonFailureOfDomain {
@@ -49,12 +49,12 @@
         @Test
         void excludesIncarnationListedSince() {
             fixture.servers.add(ForwardFixture.server("a-9", "a"));
-            fixture.updateListed(2_000);
+            fixture.updateListedServers(2_000);
             assertFalse(health.isDown(fixture.byId("a-9"), 2_001));
         }
     }
 
-    /** A server refuses all requests and looks idle. */
+    /** A server that refuses all requests looks idle. */
     @Nested
     class Refusals {
         private final ServerIncarnation incarnation = fixture.byId("a-1").incarnation();
@@ -73,7 +73,7 @@
         }
 
         /**
-         * All engines refuse now and then in overload; if refusals counted as failures, all copies
+         * All engines refuse some requests in overload. If refusals counted as failures, all copies
          * would be released.
          */
         @Test
@@ -148,13 +148,13 @@
     class Gone {
         @Test
         void isPermanent() {
-            health.recordGone(fixture.byId("a-1"));
+            health.recordServerGone(fixture.byId("a-1"));
             assertTrue(health.isDown(fixture.byId("a-1"), Long.MAX_VALUE / 4));
         }
 
         @Test
         void isReportedToPeersOnce() {
-            health.recordGone(fixture.byId("a-1"));
+            health.recordServerGone(fixture.byId("a-1"));
             assertEquals(1, health.drainFailureReports().size());
             assertEquals(0, health.drainFailureReports().size());
         }
--- a/masticweir/src/test/java/org/masticweir/forward/ServerNoticesPropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerNoticesPropertyTest.java
@@ -20,7 +20,7 @@
 
 /**
  * Sends requests to servers that leave, pause and refuse at random moments, with answers that
- * overtake each other and entries that lapse and return.
+ * arrive out of order and entries that expire and reappear.
  */
 final class ServerNoticesPropertyTest {
     private static final int SERVERS = 4;
@@ -29,10 +29,7 @@
     /** Longest delay of a request and of an answer, in ms. */
     private static final int MAX_DELAY_MS = 100;
 
-    /**
-     * Servers that have announced leaving or a pause to the router must receive no requests from
-     * it.
-     */
+    /** The router must send no requests to servers that have announced leaving or a pause. */
     @Property(tries = 1_000, seed = "20261203")
     void nothingIsSentToLeavingOrPausingServers(@ForAll long seed) {
         Simulation simulation = new Simulation(new Random(seed));
@@ -56,8 +53,8 @@
     }
 
     /**
-     * The schedules must contain leaves, pauses and refusals; otherwise the properties prove
-     * nothing.
+     * The schedules must contain leaving servers, pauses and refusals; otherwise the properties
+     * prove nothing.
      */
     @Example
     void schedulesReachLeavesPausesAndRefusals() {
@@ -69,12 +66,12 @@
             simulation.run();
             leaves += simulation.leavingSinceMs.size();
             pauses += simulation.pausedUntilMs.size();
-            refused += simulation.refused;
+            refused += simulation.refusalCount;
         }
         assertTrue(leaves > 50 && pauses > 100 && refused > 100);
     }
 
-    /** Answer of a server, with the notices in it. */
+    /** Answer of a server with its leaving and pause notices. */
     private record Answer(ServerIncarnation from, long atMs, boolean leaving, long pauseMs) {}
 
     /** Simulation of one router and its servers. */
@@ -83,11 +80,12 @@
         private final ForwardFixture forward = new ForwardFixture().domain("a", SERVERS);
         private final PriorityQueue<Answer> pendingAnswers =
                 new PriorityQueue<>((x, y) -> Long.compare(x.atMs(), y.atMs()));
-        private final Set<ServerIncarnation> leaving = new HashSet<>();
+        private final Set<ServerIncarnation> leavingServers = new HashSet<>();
         private final Map<ServerIncarnation, Long> serverPausedUntilMs = new HashMap<>();
 
         /**
-         * Servers that have announced to the router that they leave, as counted by the test itself.
+         * Times of the leaving announcements that the router has received, recorded independently
+         * of the tested code.
          */
         private final Map<ServerIncarnation, Long> leavingSinceMs = new HashMap<>();
 
@@ -95,7 +93,7 @@
         private final List<String> violations = new ArrayList<>();
         private final Set<ServerIncarnation> sentSinceSettled = new HashSet<>();
         private boolean isSettled;
-        private int refused;
+        private int refusalCount;
         private long nowMs;
 
         Simulation(Random random) {
@@ -111,7 +109,7 @@
             }
         }
 
-        /** Lets all pauses expire; no server changes its state any more. */
+        /** Runs the simulation without further state changes until all pauses have expired. */
         void settle() {
             serverPausedUntilMs.clear();
             isSettled = true;
@@ -131,13 +129,13 @@
             int event = random.nextInt(1_000);
             ServerIncarnation server = randomServer().incarnation();
             if (event < 2) {
-                leaving.add(server);
+                leavingServers.add(server);
             } else if (event < 12) {
                 serverPausedUntilMs.put(server, nowMs + 200 + random.nextInt(3_000));
             } else if (event < 16) {
-                forward.notices.updateListed(Set.of(), nowMs);
+                forward.notices.updateListedServers(Set.of(), nowMs);
             } else if (event < 20) {
-                forward.notices.updateListed(
+                forward.notices.updateListedServers(
                         forward.servers.stream()
                                 .map(BackendServer::incarnation)
                                 .collect(Collectors.toSet()),
@@ -174,7 +172,7 @@
         private void answer(ServerIncarnation server) {
             long atMs = nowMs + 2 + random.nextInt(MAX_DELAY_MS);
             long pauseMs = Math.max(0, serverPausedUntilMs.getOrDefault(server, 0L) - nowMs);
-            pendingAnswers.add(new Answer(server, atMs, leaving.contains(server), pauseMs));
+            pendingAnswers.add(new Answer(server, atMs, leavingServers.contains(server), pauseMs));
         }
 
         private void deliverAnswers() {
@@ -193,9 +191,9 @@
                 forward.health.recordAnswer(server, nowMs);
                 return;
             }
-            refused++;
+            refusalCount++;
             forward.health.recordRefusal(server, nowMs);
-            // One refusal in four announces no pause.
+            // One in four refusals announces no pause.
             if (random.nextInt(4) > 0) {
                 forward.notices.recordPause(server, answer.pauseMs(), nowMs);
                 pausedUntilMs.merge(server, nowMs + answer.pauseMs(), Math::max);
--- a/masticweir/src/test/java/org/masticweir/forward/ServerNoticesTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerNoticesTest.java
@@ -33,21 +33,23 @@
             assertFalse(notices.isLeaving(SECOND));
         }
 
-        /** The entry of a server may lapse while the store is unavailable, and return unchanged. */
+        /**
+         * The entry of a server may expire while the store is unavailable, and reappear unchanged.
+         */
         @Test
         void survivesLapseOfEntry() {
             notices.recordLeaving(FIRST, 0);
-            notices.updateListed(Set.of(FIRST), 5_000);
-            notices.updateListed(Set.of(), 5_000 + ServerNotices.MAX_ABSENCE_MS);
+            notices.updateListedServers(Set.of(FIRST), 5_000);
+            notices.updateListedServers(Set.of(), 5_000 + ServerNotices.MAX_ABSENCE_MS);
             assertTrue(notices.isLeaving(FIRST));
-            notices.updateListed(Set.of(FIRST), 6_000 + ServerNotices.MAX_ABSENCE_MS);
+            notices.updateListedServers(Set.of(FIRST), 6_000 + ServerNotices.MAX_ABSENCE_MS);
             assertTrue(notices.isLeaving(FIRST));
         }
 
         @Test
         void isForgottenAfterMaxAbsence() {
             notices.recordLeaving(FIRST, 0);
-            notices.updateListed(Set.of(), ServerNotices.MAX_ABSENCE_MS + 1);
+            notices.updateListedServers(Set.of(), ServerNotices.MAX_ABSENCE_MS + 1);
             assertFalse(notices.isLeaving(FIRST));
         }
     }
--- a/masticweir/src/test/java/org/masticweir/forward/ServiceRetryBudgetsTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServiceRetryBudgetsTest.java
@@ -12,16 +12,17 @@
 import org.masticweir.permits.SharedRate;
 
 /**
- * Tests the part of the shared retry budget that a router may use by itself, and the retry permits.
+ * Tests the part of the shared retry budget that a router may use without permits, and the retry
+ * permits.
  */
 class ServiceRetryBudgetsTest {
     private static final ServiceName SERVICE = ServiceName.of("lookups");
     private static final double SHARE = 0.8;
     private static final double WINDOW_S = 10;
 
-    private static int countRetries(ServiceRetryBudgets repeats) {
+    private static int countRetries(ServiceRetryBudgets budgets) {
         int granted = 0;
-        while (repeats.tryRetry(SERVICE, 0)) {
+        while (budgets.tryRetry(SERVICE, 0)) {
             granted++;
         }
         return granted;
--- a/masticweir/src/test/java/org/masticweir/forward/SilenceTimerTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/SilenceTimerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.masticweir.catalog.Repeatability;
 
-/** Tests how long an engine may be silent, and the effect of its reports. */
+/** Tests the timeouts of silent engines and the effect of their reports. */
 class SilenceTimerTest {
     private static final long GOAL_MS = ForwardFixture.GOAL_MS;
 
@@ -33,9 +33,9 @@
         }
     }
 
-    /** The engine is in the prefill. */
+    /** The engine runs the prefill. */
     @Nested
-    class BeforeTheFirstEvent {
+    class BeforeFirstEvent {
         @Test
         void timeoutIsHalfOfGoalIfPrefillSpeedIsUnknown() {
             assertEquals(GOAL_MS / 2, timerOfSend(false).deadlineMs());
@@ -62,7 +62,8 @@
 
         /**
          * A report must not start 4.5 s late because its router waits for the prefill of an engine
-         * whose whole domain stopped responding, although other streams had shown the loss.
+         * whose whole domain stopped responding, although timeouts of other streams had revealed
+         * the loss.
          */
         @Test
         void needsActionAtOnceIfServerIsDown() {
@@ -81,15 +82,15 @@
     }
 
     /**
-     * An engine may drop a request without a sign; without the engine's report, a caller waits 18
-     * s.
+     * An engine may drop a request without an error. Without the engine's report, the caller waits
+     * 18 s.
      */
     @Nested
-    class ReportOfEngine {
-        private final SilenceTimer silence = timerOfSend(false);
+    class EngineReports {
+        private final SilenceTimer timer = timerOfSend(false);
 
         private boolean mayHaveRequest(int admitted, int waiting, String... running) {
-            return silence.recordReport(
+            return timer.recordReport(
                     new EngineReport(Set.of(running), admitted, waiting, OptionalLong.empty()),
                     "r1",
                     2_300);
@@ -109,21 +110,21 @@
         }
 
         /**
-         * A report that is older than the send must not move a prompt away from the engine that has
-         * started its prefill.
+         * A report that is older than the send must not move a request away from an engine that has
+         * started the prefill.
          */
         @Test
         void isIgnoredIfRequestWasJustSent() {
             EngineReport idle = new EngineReport(Set.of(), 0, 0, OptionalLong.empty());
-            assertTrue(silence.recordReport(idle, "r1", 256));
-            assertFalse(silence.recordReport(idle, "r1", SilenceTimer.MAX_REPORT_AGE_MS));
+            assertTrue(timer.recordReport(idle, "r1", 256));
+            assertFalse(timer.recordReport(idle, "r1", SilenceTimer.MAX_REPORT_AGE_MS));
         }
 
         @Test
         void restartsTimer() {
-            long allowedMs = silence.deadlineMs();
+            long allowedMs = timer.deadlineMs();
             mayHaveRequest(1, 0);
-            assertEquals(2_300 + allowedMs, silence.deadlineMs());
+            assertEquals(2_300 + allowedMs, timer.deadlineMs());
         }
     }
 
