--- a/masticweir/src/main/java/org/masticweir/relay/AnswerMetadataRecorder.java
+++ b/masticweir/src/main/java/org/masticweir/relay/AnswerMetadataRecorder.java
@@ -27,8 +27,8 @@
     private final SharedLimits limits;
     private final PlatformProtocol protocol;
     private final Clock clock;
-    private final Counter leaving;
-    private final Counter pauses;
+    private final Counter leavingCounter;
+    private final Counter pauseCounter;
 
     AnswerMetadataRecorder(
             ServerNotices notices,
@@ -40,8 +40,8 @@
         this.limits = checkNotNull(limits, "limits");
         this.protocol = checkNotNull(protocol, "protocol");
         this.clock = checkNotNull(clock, "clock");
-        leaving = metrics.counter(MetricName.of("servers_said_leaving_total"));
-        pauses = metrics.counter(MetricName.of("server_pauses_total"));
+        leavingCounter = metrics.counter(MetricName.of("servers_said_leaving_total"));
+        pauseCounter = metrics.counter(MetricName.of("server_pauses_total"));
     }
 
     /**
@@ -78,7 +78,7 @@
     private void recordAnnouncements(
             ServerIncarnation server, AnswerMetadata metadata, String request) {
         if (metadata.isLeaving() && notices.recordLeaving(server, clock.nowMs())) {
-            leaving.inc();
+            leavingCounter.inc();
             LOG.info("notices: {} leaves, answer to {}", server, request);
         }
         metadata.pauseMs().ifPresent(ms -> recordPause(server, ms, request));
@@ -86,7 +86,7 @@
 
     private void recordPause(ServerIncarnation server, long ms, String request) {
         if (notices.recordPause(server, ms, clock.nowMs())) {
-            pauses.inc();
+            pauseCounter.inc();
             LOG.info("notices: {} takes nothing for {} ms, answer to {}", server, ms, request);
         }
     }
--- a/masticweir/src/main/java/org/masticweir/relay/CallerAnswerWriter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CallerAnswerWriter.java
@@ -26,21 +26,21 @@
     private static final double MS_PER_SECOND = 1_000.0;
 
     private final HttpServerExchange exchange;
-    private final Runnable onBroken;
+    private final Runnable onWriteFailed;
     private final Deque<ByteBuffer> queue = new ArrayDeque<>();
     private int queuedBytes;
     private StreamSinkChannel sink;
-    private boolean isLastQueued;
+    private boolean isEndQueued;
     private boolean isEnded;
 
     /**
      * Creates the writer for the answer of {@code exchange}.
      *
-     * @param onBroken runs when the answer can no longer be written to the caller
+     * @param onWriteFailed runs when the answer can no longer be written to the caller
      */
-    CallerAnswerWriter(HttpServerExchange exchange, Runnable onBroken) {
+    CallerAnswerWriter(HttpServerExchange exchange, Runnable onWriteFailed) {
         this.exchange = checkNotNull(exchange, "exchange");
-        this.onBroken = checkNotNull(onBroken, "onBroken");
+        this.onWriteFailed = checkNotNull(onWriteFailed, "onWriteFailed");
     }
 
     /** Returns whether the head of an event stream has been sent. */
@@ -110,7 +110,7 @@
         queuedBytes += bytes.remaining();
         if (queuedBytes > MAX_QUEUED_BYTES) {
             abort();
-            onBroken.run();
+            onWriteFailed.run();
             return;
         }
         queue.add(bytes);
@@ -119,7 +119,7 @@
 
     /** Ends an event stream as complete. */
     void endEventStream() {
-        isLastQueued = true;
+        isEndQueued = true;
         write();
     }
 
@@ -147,7 +147,7 @@
                 }
                 queue.remove();
             }
-            if (isLastQueued) {
+            if (isEndQueued) {
                 isEnded = true;
                 sink.shutdownWrites();
                 flushLast();
@@ -160,7 +160,7 @@
             }
         } catch (IOException e) {
             abort();
-            onBroken.run();
+            onWriteFailed.run();
         }
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/CallerDisconnectDetector.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CallerDisconnectDetector.java
@@ -53,17 +53,17 @@
         if (detector == null) {
             // One instance for all requests of the connection, as close listeners can't be
             // removed.
-            CallerDisconnectDetector created = new CallerDisconnectDetector(connection);
-            connection.putAttachment(KEY, created);
-            connection.addCloseListener(c -> created.notifyListener());
-            detector = created;
+            CallerDisconnectDetector newDetector = new CallerDisconnectDetector(connection);
+            connection.putAttachment(KEY, newDetector);
+            connection.addCloseListener(c -> newDetector.notifyListener());
+            detector = newDetector;
         }
         detector.begin(exchange, checkNotNull(onDisconnect, "onDisconnect"));
         return detector;
     }
 
-    private void begin(HttpServerExchange watched, Runnable listener) {
-        exchange = watched;
+    private void begin(HttpServerExchange newExchange, Runnable listener) {
+        exchange = newExchange;
         onDisconnect = listener;
         hasDroppedBytes = false;
         nextRequestBytes = Optional.ofNullable(connection.getExtraBytes());
--- a/masticweir/src/main/java/org/masticweir/relay/CallersPort.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CallersPort.java
@@ -45,8 +45,8 @@
     private final ScheduledExecutorService control;
     private final Clock clock;
     private final long startedMs;
-    private final CompletableFuture<Void> opened = new CompletableFuture<>();
-    private volatile Optional<EarlyConnectionProxy> earlyConnections = Optional.empty();
+    private final CompletableFuture<Void> openedFuture = new CompletableFuture<>();
+    private volatile Optional<EarlyConnectionProxy> connectionProxy = Optional.empty();
 
     CallersPort(
             StartupListener listener,
@@ -69,8 +69,8 @@
     }
 
     /** Returns a future that completes when the router itself accepts connections at the port. */
-    CompletableFuture<Void> opened() {
-        return opened.copy();
+    CompletableFuture<Void> openedFuture() {
+        return openedFuture.copy();
     }
 
     private void checkReady() {
@@ -83,17 +83,18 @@
 
     private void open() {
         try {
-            List<SocketChannel> waiting = listener.release();
+            List<SocketChannel> earlyConnections = listener.release();
             ports.openCallers();
-            opened.complete(null);
+            openedFuture.complete(null);
             LOG.info("router: serves callers at {}", address);
-            if (!waiting.isEmpty()) {
-                earlyConnections = Optional.of(EarlyConnectionProxy.start(waiting, address));
+            if (!earlyConnections.isEmpty()) {
+                connectionProxy =
+                        Optional.of(EarlyConnectionProxy.start(earlyConnections, address));
             }
         } catch (IOException e) {
             LOG.error("router: connections accepted during the start are lost", e);
             ports.openCallers();
-            opened.complete(null);
+            openedFuture.complete(null);
         }
     }
 
@@ -101,8 +102,8 @@
     public void close() {
         try {
             listener.close();
-            if (earlyConnections.isPresent()) {
-                earlyConnections.get().close();
+            if (connectionProxy.isPresent()) {
+                connectionProxy.get().close();
             }
         } catch (IOException e) {
             LOG.warn("router: failed to close the callers' port, {}", e.getMessage());
--- a/masticweir/src/main/java/org/masticweir/relay/CatalogSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CatalogSharing.java
@@ -91,7 +91,7 @@
         if (version > Math.max(deployment.catalogVersion(), rejectedVersion)) {
             long heldVersion = needsFullText ? NO_VERSION : deployment.catalogVersion();
             String base = currentText();
-            requests.ask(
+            requests.request(
                     peer,
                     new CatalogRequest(heldVersion, true),
                     reply -> handleReply(peer, version, base, reply));
--- a/masticweir/src/main/java/org/masticweir/relay/ContentDigest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ContentDigest.java
@@ -26,7 +26,7 @@
         Hasher hasher = Hashing.sha256().newHasher();
         put(hasher, request.team().map(TeamId::value).orElse(""));
         put(hasher, request.method());
-        put(hasher, request.plan().route().host());
+        put(hasher, request.params().route().host());
         put(hasher, request.path());
         hasher.putBytes(request.body());
         byte[] digest = hasher.hash().asBytes();
--- a/masticweir/src/main/java/org/masticweir/relay/ContentTrial.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ContentMonitor.java
@@ -17,15 +17,15 @@
  *
  * <p>The content id is computed when it is first needed, which for most requests is never.
  */
-final class ContentTrial {
+final class ContentMonitor {
     private final RelayContext context;
     private final Supplier<ContentId> content;
     private int eventCount;
     private long firstEventMs;
-    private boolean isOnTrial;
+    private boolean isTrial;
     private boolean isSuccessRecorded;
 
-    ContentTrial(RelayContext context, RelayRequest request) {
+    ContentMonitor(RelayContext context, RelayRequest request) {
         this.context = checkNotNull(context, "context");
         content = Suppliers.memoize(() -> ContentDigest.of(request));
     }
@@ -60,7 +60,7 @@
     void beginSend() {
         eventCount = 0;
         isSuccessRecorded = false;
-        isOnTrial = context.quarantine().beginTrial(content);
+        isTrial = context.quarantine().beginTrial(content);
     }
 
     void recordEvent(long nowMs) {
@@ -80,8 +80,8 @@
     }
 
     void endSend() {
-        if (isOnTrial) {
-            isOnTrial = false;
+        if (isTrial) {
+            isTrial = false;
             context.quarantine().endTrial(content.get());
         }
     }
@@ -91,16 +91,17 @@
      * request had run for long, if the server was leaving, or if it had been removed from the
      * server list before.
      *
-     * @param broke whether the server broke the connection
+     * @param isConnectionBroken whether the server broke the connection
      */
-    void recordLoss(BackendServer server, long sentMs, boolean broke, long nowMs) {
+    void recordLoss(BackendServer server, long sentMs, boolean isConnectionBroken, long nowMs) {
         RelayView view = context.view().get();
         boolean isExpectedToRun =
                 view.server(server.incarnation())
                         .filter(s -> !context.selector().isLeaving(s))
                         .isPresent();
         if (isExpectedToRun && hasJustBegun(nowMs)) {
-            context.lossInquiry().handleLoss(content.get(), server, sentMs, broke, view.catalog());
+            context.lossInquiry()
+                    .handleLoss(content.get(), server, sentMs, isConnectionBroken, view.catalog());
         }
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/DrainingAdmission.java
+++ b/masticweir/src/main/java/org/masticweir/relay/DrainingAdmission.java
@@ -38,8 +38,8 @@
     private final AtomicInteger inFlightCount = new AtomicInteger();
     private volatile boolean isDraining;
     private volatile boolean isClosed;
-    private volatile long startedMs;
-    private volatile long endsMs;
+    private volatile long drainingSinceMs;
+    private volatile long drainingUntilMs;
 
     void requestStarted() {
         inFlightCount.incrementAndGet();
@@ -63,8 +63,8 @@
                 "draining ends at %s, before its start at %s",
                 untilMs,
                 sinceMs);
-        startedMs = sinceMs;
-        endsMs = untilMs;
+        drainingSinceMs = sinceMs;
+        drainingUntilMs = untilMs;
         isDraining = true;
     }
 
@@ -82,7 +82,7 @@
         if (isClosed || !isDraining) {
             return !isClosed;
         }
-        return nowMs + timeoutMs < endsMs;
+        return nowMs + timeoutMs < drainingUntilMs;
     }
 
     /**
@@ -94,23 +94,23 @@
         if (isClosed || !isDraining) {
             return !isClosed;
         }
-        return nowMs - startedMs < STREAM_ADMISSION_MS
+        return nowMs - drainingSinceMs < STREAM_ADMISSION_MS
                 && expectedMs.isPresent()
-                && nowMs + expectedMs.getAsLong() <= endsMs;
+                && nowMs + expectedMs.getAsLong() <= drainingUntilMs;
     }
 
     /** Returns the time since the shutdown request, in ms. */
     long drainingForMs(long nowMs) {
-        return nowMs - startedMs;
+        return nowMs - drainingSinceMs;
     }
 
     /** Returns the time until requests must have ended, in ms. */
     long remainingMs(long nowMs) {
-        return endsMs - nowMs;
+        return drainingUntilMs - nowMs;
     }
 
     /** Returns the time until the balancer no longer sends requests to this router, in ms. */
     long balancerDetectionLeftMs(long nowMs) {
-        return Math.max(MIN_RETRY_MS, startedMs + BALANCER_DETECTION_MS - nowMs);
+        return Math.max(MIN_RETRY_MS, drainingSinceMs + BALANCER_DETECTION_MS - nowMs);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/EarlyConnectionProxy.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EarlyConnectionProxy.java
@@ -31,24 +31,25 @@
     private static final int BUFFER_BYTES = 8 << 10;
 
     private final Selector selector;
-    private final InetSocketAddress router;
+    private final InetSocketAddress routerAddress;
 
     /**
      * Number of pairs that are not closed; confined to the thread. The selector's key set can't be
      * used for this: a closed key stays in it until the next selection, which may wait forever.
      */
-    private int openPairs;
+    private int openPairCount;
 
-    private EarlyConnectionProxy(Selector selector, InetSocketAddress router) {
+    private EarlyConnectionProxy(Selector selector, InetSocketAddress routerAddress) {
         this.selector = selector;
-        this.router = router;
+        this.routerAddress = routerAddress;
     }
 
     /** Starts to forward between {@code callers} and the router that listens at {@code router}. */
-    static EarlyConnectionProxy start(List<SocketChannel> callers, InetSocketAddress router) {
-        checkNotNull(router, "router");
+    static EarlyConnectionProxy start(
+            List<SocketChannel> callers, InetSocketAddress routerAddress) {
+        checkNotNull(routerAddress, "routerAddress");
         try {
-            EarlyConnectionProxy proxy = new EarlyConnectionProxy(Selector.open(), router);
+            EarlyConnectionProxy proxy = new EarlyConnectionProxy(Selector.open(), routerAddress);
             LOG.info("router: {} callers connected while it started", callers.size());
             Thread thread = new Thread(() -> proxy.run(callers), "early-connections");
             thread.setDaemon(true);
@@ -67,8 +68,8 @@
     private void run(List<SocketChannel> callers) {
         callers.forEach(this::addPair);
         try {
-            while (openPairs > 0) {
-                selector.select(key -> ((Pair) key.attachment()).forwardBytes());
+            while (openPairCount > 0) {
+                selector.select(key -> ((ConnectionPair) key.attachment()).forwardBytes());
             }
             selector.close();
         } catch (ClosedSelectorException e) {
@@ -79,8 +80,8 @@
     }
 
     private void addPair(SocketChannel caller) {
-        Pair pair = new Pair(caller);
-        openPairs++;
+        ConnectionPair pair = new ConnectionPair(caller);
+        openPairCount++;
         try {
             caller.configureBlocking(false);
             if (pair.readCaller()) {
@@ -95,7 +96,7 @@
     }
 
     /** A caller's connection and the corresponding connection to the router. */
-    private final class Pair {
+    private final class ConnectionPair {
         private final SocketChannel caller;
         private final ByteBuffer toRouter = ByteBuffer.allocate(BUFFER_BYTES);
         private final ByteBuffer toCaller = ByteBuffer.allocate(BUFFER_BYTES);
@@ -104,7 +105,7 @@
         private SelectionKey routerKey;
         private boolean isClosed;
 
-        Pair(SocketChannel caller) {
+        ConnectionPair(SocketChannel caller) {
             this.caller = caller;
         }
 
@@ -125,7 +126,7 @@
         }
 
         void connect() throws IOException {
-            routerChannel = SocketChannel.open(router);
+            routerChannel = SocketChannel.open(routerAddress);
             routerChannel.configureBlocking(false);
             callerKey = caller.register(selector, 0, this);
             routerKey = routerChannel.register(selector, 0, this);
@@ -146,23 +147,23 @@
                     return;
                 }
                 write(toRouter, routerChannel);
-                boolean answered = routerChannel.read(toCaller) < 0;
+                boolean isAnswerComplete = routerChannel.read(toCaller) < 0;
                 write(toCaller, caller);
-                if (answered && toCaller.position() == 0) {
+                if (isAnswerComplete && toCaller.position() == 0) {
                     close();
                     return;
                 }
-                callerKey.interestOps(interest(toRouter, toCaller));
-                routerKey.interestOps(interest(toCaller, toRouter));
+                callerKey.interestOps(interestOps(toRouter, toCaller));
+                routerKey.interestOps(interestOps(toCaller, toRouter));
             } catch (IOException e) {
                 LOG.debug("router: early connection closed, {}", e.getMessage());
                 close();
             }
         }
 
-        private void write(ByteBuffer buffer, SocketChannel to) throws IOException {
+        private void write(ByteBuffer buffer, SocketChannel target) throws IOException {
             buffer.flip();
-            to.write(buffer);
+            target.write(buffer);
             buffer.compact();
         }
 
@@ -170,16 +171,16 @@
          * Reads a channel while its buffer has space, and writes to it while the other buffer has
          * bytes.
          */
-        private int interest(ByteBuffer read, ByteBuffer written) {
-            int reads = read.hasRemaining() ? SelectionKey.OP_READ : 0;
-            int writes = written.position() > 0 ? SelectionKey.OP_WRITE : 0;
+        private int interestOps(ByteBuffer readBuffer, ByteBuffer writeBuffer) {
+            int reads = readBuffer.hasRemaining() ? SelectionKey.OP_READ : 0;
+            int writes = writeBuffer.position() > 0 ? SelectionKey.OP_WRITE : 0;
             return reads | writes;
         }
 
         void close() {
             if (!isClosed) {
                 isClosed = true;
-                openPairs--;
+                openPairCount--;
             }
             IoUtils.safeClose(caller);
             IoUtils.safeClose(routerChannel);
--- a/masticweir/src/main/java/org/masticweir/relay/EngineStatusProbe.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EngineStatusProbe.java
@@ -30,11 +30,11 @@
     static void probe(
             RelayContext context, BackendServer engine, Consumer<Optional<EngineReport>> callback) {
         context.limits().recordProbe(engine.incarnation());
-        context.calls()
+        context.httpCaller()
                 .call(context.protocol().engineProbeCall(engine), TIMEOUT_MS)
                 .thenAccept(
                         outcome -> {
-                            context.answerMetadata().recordCall(engine.incarnation(), outcome);
+                            context.metadataRecorder().recordCall(engine.incarnation(), outcome);
                             callback.accept(parseReport(context.protocol(), outcome));
                         });
     }
--- a/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
@@ -15,27 +15,27 @@
  */
 final class EventRelay {
     private final RelayContext context;
-    private final RequestParameters plan;
+    private final RequestParameters params;
     private final RequestStateMachine machine;
-    private final CallerAnswerWriter answer;
+    private final CallerAnswerWriter writer;
     private final RelayMetrics.RequestMetrics metrics;
     private final RequestLog log;
 
-    private long firstMs;
-    private long lastMs;
+    private long firstEventMs;
+    private long lastEventMs;
     private boolean isResuming;
 
     EventRelay(
             RelayContext context,
-            RequestParameters plan,
+            RequestParameters params,
             RequestStateMachine machine,
-            CallerAnswerWriter answer,
+            CallerAnswerWriter writer,
             RelayMetrics.RequestMetrics metrics,
             RequestLog log) {
         this.context = checkNotNull(context, "context");
-        this.plan = checkNotNull(plan, "plan");
+        this.params = checkNotNull(params, "params");
         this.machine = checkNotNull(machine, "machine");
-        this.answer = checkNotNull(answer, "answer");
+        this.writer = checkNotNull(writer, "writer");
         this.metrics = checkNotNull(metrics, "metrics");
         this.log = checkNotNull(log, "log");
     }
@@ -45,49 +45,53 @@
      * server.
      */
     void handleServerLoss() {
-        isResuming = answer.isStreaming();
+        isResuming = writer.isStreaming();
     }
 
     /** Forwards an event of {@code server}, unless the caller already has it. */
     void forward(
             BackendServer server, HttpHead head, ByteBuffer bytes, OptionalLong id, long nowMs) {
-        if (callerHas(id)) {
+        if (hasCallerReceived(id)) {
             return;
         }
-        if (!answer.isStreaming()) {
-            firstMs = nowMs;
-            metrics.recordFirstEvent(nowMs - plan.receivedMs());
+        if (!writer.isStreaming()) {
+            firstEventMs = nowMs;
+            metrics.recordFirstEvent(nowMs - params.receivedMs());
             startEventStream(head);
         } else if (isResuming) {
             isResuming = false;
-            context.metrics().recordResume(server, nowMs - lastMs);
-            log.logResume(server, nowMs - lastMs);
+            context.metrics().recordResume(server, nowMs - lastEventMs);
+            log.logResume(server, nowMs - lastEventMs);
         }
-        lastMs = nowMs;
+        lastEventMs = nowMs;
         id.ifPresent(machine::onEvent);
-        answer.sendEvent(bytes);
+        writer.sendEvent(bytes);
     }
 
     /**
      * Handles the end of the events of a server; the caller of this method then ends the answer.
      */
     void handleEnd(HttpHead head, long nowMs) {
-        if (answer.isStreaming()) {
-            context.durations().observe(plan.size(), firstMs - plan.receivedMs(), nowMs - firstMs);
+        if (writer.isStreaming()) {
+            context.durations()
+                    .observe(
+                            params.size(),
+                            firstEventMs - params.receivedMs(),
+                            nowMs - firstEventMs);
         } else {
             // If the caller already has all events, the answer has a head and an end only.
             startEventStream(head);
         }
     }
 
-    private boolean callerHas(OptionalLong id) {
+    private boolean hasCallerReceived(OptionalLong id) {
         return id.isPresent()
                 && machine.lastEventId().isPresent()
                 && id.getAsLong() <= machine.lastEventId().getAsLong();
     }
 
     private void startEventStream(HttpHead head) {
-        answer.startEventStream(
+        writer.startEventStream(
                 new HttpHead(head.status(), context.protocol().headersToCaller(head.headers())));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/EventSplitter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EventSplitter.java
@@ -20,10 +20,10 @@
     private static final int INITIAL_BUFFER_BYTES = 512;
     private static final byte[] ID = "id:".getBytes(StandardCharsets.US_ASCII);
 
-    private byte[] event = new byte[INITIAL_BUFFER_BYTES];
-    private int length;
+    private byte[] eventBytes = new byte[INITIAL_BUFFER_BYTES];
+    private int eventLength;
     private int lineStart;
-    private OptionalLong id = OptionalLong.empty();
+    private OptionalLong eventId = OptionalLong.empty();
 
     /** Receives complete events. */
     @FunctionalInterface
@@ -50,51 +50,52 @@
 
     /** Returns whether no incomplete event is buffered. */
     boolean isAtEventEnd() {
-        return length == 0;
+        return eventLength == 0;
     }
 
     private void append(byte b) throws IOException {
-        if (length == MAX_EVENT_BYTES) {
+        if (eventLength == MAX_EVENT_BYTES) {
             throw new IOException("event longer than " + MAX_EVENT_BYTES + " bytes");
         }
-        if (length == event.length) {
-            event = Arrays.copyOf(event, length * 2);
+        if (eventLength == eventBytes.length) {
+            eventBytes = Arrays.copyOf(eventBytes, eventLength * 2);
         }
-        event[length] = b;
-        length++;
+        eventBytes[eventLength] = b;
+        eventLength++;
     }
 
     private void endLine(Sink sink) throws IOException {
-        int end = length - 1;
-        if (end > lineStart && event[end - 1] == '\r') {
+        int end = eventLength - 1;
+        if (end > lineStart && eventBytes[end - 1] == '\r') {
             end--;
         }
         if (end > lineStart) {
             readId(end);
-            lineStart = length;
+            lineStart = eventLength;
             return;
         }
-        ByteBuffer whole = ByteBuffer.wrap(Arrays.copyOf(event, length));
-        OptionalLong read = id;
-        length = 0;
+        ByteBuffer completeEvent = ByteBuffer.wrap(Arrays.copyOf(eventBytes, eventLength));
+        OptionalLong completeEventId = eventId;
+        eventLength = 0;
         lineStart = 0;
-        id = OptionalLong.empty();
-        sink.onEvent(whole, read);
+        eventId = OptionalLong.empty();
+        sink.onEvent(completeEvent, completeEventId);
     }
 
     private void readId(int end) {
         int start = lineStart + ID.length;
-        boolean isIdLine = end > start && Arrays.equals(event, lineStart, start, ID, 0, ID.length);
+        boolean isIdLine =
+                end > start && Arrays.equals(eventBytes, lineStart, start, ID, 0, ID.length);
         if (!isIdLine) {
             return;
         }
-        String text = new String(event, start, end - start, StandardCharsets.US_ASCII).trim();
+        String text = new String(eventBytes, start, end - start, StandardCharsets.US_ASCII).trim();
         try {
-            id = OptionalLong.of(Long.parseLong(text));
+            eventId = OptionalLong.of(Long.parseLong(text));
         } catch (NumberFormatException e) {
             // A stream can't be resumed after an id that is not a number; the event is passed on
             // unchanged.
-            id = OptionalLong.empty();
+            eventId = OptionalLong.empty();
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/ExchangeCompletion.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ExchangeCompletion.java
@@ -47,18 +47,18 @@
     /** One instance for all exchanges of a connection, as close listeners can't be removed. */
     private static ExchangeCompletion of(
             ServerConnection connection, KeepAliveConnections connections) {
-        ExchangeCompletion known = connection.getAttachment(KEY);
-        if (known != null) {
-            return known;
+        ExchangeCompletion existing = connection.getAttachment(KEY);
+        if (existing != null) {
+            return existing;
         }
-        ExchangeCompletion created = new ExchangeCompletion();
-        connection.putAttachment(KEY, created);
+        ExchangeCompletion newCompletion = new ExchangeCompletion();
+        connection.putAttachment(KEY, newCompletion);
         connection.addCloseListener(
                 c -> {
-                    created.notifyListener();
+                    newCompletion.notifyListener();
                     connections.connectionClosed(c);
                 });
-        return created;
+        return newCompletion;
     }
 
     private void notifyListener() {
--- a/masticweir/src/main/java/org/masticweir/relay/HedgedPeerRequest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/HedgedPeerRequest.java
@@ -32,16 +32,16 @@
     /**
      * Limit on concurrently asked peers: a third one would slow down the replies of the other two.
      */
-    private static final int MAX_ASKED_PEERS = 2;
+    private static final int MAX_PENDING_PEERS = 2;
 
-    private final PeerSender links;
+    private final PeerSender peerSender;
     private final Executor control;
     private final Clock clock;
-    private final Set<RouterId> askedPeers = new HashSet<>();
-    private long lastAskMs;
+    private final Set<RouterId> pendingPeers = new HashSet<>();
+    private long lastRequestMs;
 
-    HedgedPeerRequest(PeerSender links, Executor control, Clock clock) {
-        this.links = checkNotNull(links, "links");
+    HedgedPeerRequest(PeerSender peerSender, Executor control, Clock clock) {
+        this.peerSender = checkNotNull(peerSender, "peerSender");
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
     }
@@ -51,20 +51,21 @@
      *
      * @param callback receives the reply, or nothing if none will arrive
      */
-    void ask(RouterId peer, PeerMessage question, Consumer<Optional<PeerMessage>> callback) {
+    void request(RouterId peer, PeerMessage message, Consumer<Optional<PeerMessage>> callback) {
         long now = clock.nowMs();
-        boolean isHedgeDelayed = !askedPeers.isEmpty() && now - lastAskMs < HEDGE_DELAY_MS;
-        if (isHedgeDelayed || askedPeers.size() == MAX_ASKED_PEERS || !askedPeers.add(peer)) {
+        boolean isHedgeDelayed = !pendingPeers.isEmpty() && now - lastRequestMs < HEDGE_DELAY_MS;
+        if (isHedgeDelayed || pendingPeers.size() == MAX_PENDING_PEERS || !pendingPeers.add(peer)) {
             return;
         }
-        lastAskMs = now;
-        links.ask(peer, question, TIMEOUT_MS)
+        lastRequestMs = now;
+        peerSender
+                .ask(peer, message, TIMEOUT_MS)
                 .whenComplete(
                         (reply, error) ->
                                 ControlThread.execute(
                                         control,
                                         () -> {
-                                            askedPeers.remove(peer);
+                                            pendingPeers.remove(peer);
                                             callback.accept(Optional.ofNullable(reply));
                                         },
                                         "peers"));
--- a/masticweir/src/main/java/org/masticweir/relay/KeepAliveConnections.java
+++ b/masticweir/src/main/java/org/masticweir/relay/KeepAliveConnections.java
@@ -18,17 +18,17 @@
 final class KeepAliveConnections {
     private static final Logger LOG = LogManager.getLogger(KeepAliveConnections.class);
 
-    private final Set<ServerConnection> exchangeCompleted = new LinkedHashSet<>();
+    private final Set<ServerConnection> idleConnections = new LinkedHashSet<>();
     private boolean isClosing;
 
     /** Records that an exchange of {@code connection} begins. */
     void exchangeStarted(ServerConnection connection) {
-        exchangeCompleted.remove(connection);
+        idleConnections.remove(connection);
     }
 
     /** Records that an exchange of {@code connection} is complete and the connection is open. */
     void exchangeCompleted(ServerConnection connection) {
-        exchangeCompleted.add(connection);
+        idleConnections.add(connection);
     }
 
     /**
@@ -42,19 +42,19 @@
     }
 
     void connectionClosed(ServerConnection connection) {
-        exchangeCompleted.remove(connection);
+        idleConnections.remove(connection);
     }
 
     /** Closes all idle connections now, and each other connection after its exchange. */
     void closeAll() {
-        LOG.info("router: {} idle connections of callers are closed", exchangeCompleted.size());
+        LOG.info("router: {} idle connections of callers are closed", idleConnections.size());
         isClosing = true;
         closeIdle();
     }
 
     private void closeIdle() {
-        ImmutableList<ServerConnection> closed = ImmutableList.copyOf(exchangeCompleted);
-        exchangeCompleted.clear();
+        ImmutableList<ServerConnection> closed = ImmutableList.copyOf(idleConnections);
+        idleConnections.clear();
         closed.forEach(IoUtils::safeClose);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/LossInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LossInquiry.java
@@ -42,7 +42,7 @@
     /** A server that became silent, and one loss for each content that it had started to run. */
     private static final class SilentServer {
         private final Map<ContentId, Loss> losses = new HashMap<>();
-        private long untilMs;
+        private long watchedUntilMs;
     }
 
     LossInquiry(SharedQuarantine quarantine, ServerProbe probe, Clock clock) {
@@ -55,33 +55,39 @@
      * Handles the loss of {@code server}, which had just started to run a request that was sent at
      * {@code sentMs}.
      *
-     * @param broke whether it broke the connection, so that it was reachable a moment ago
+     * @param isConnectionBroken whether it broke the connection, so that it was reachable a moment
+     *     ago
      */
     void handleLoss(
             ContentId content,
             BackendServer server,
             long sentMs,
-            boolean broke,
+            boolean isConnectionBroken,
             Optional<Catalog> catalog) {
         Loss loss = new Loss(server.incarnation(), sentMs, clock.nowMs());
-        if (broke) {
+        if (isConnectionBroken) {
             // The probe ends within milliseconds here; the probe of a silent server would delay
             // the request.
             quarantine.beginInquiry(content);
         }
-        probe.probe(server, catalog, result -> handleProbeResult(content, loss, broke, result));
+        probe.probe(
+                server,
+                catalog,
+                result -> handleProbeResult(content, loss, isConnectionBroken, result));
     }
 
-    private void handleProbeResult(ContentId content, Loss loss, boolean broke, Result result) {
+    private void handleProbeResult(
+            ContentId content, Loss loss, boolean isConnectionBroken, Result result) {
         ServerIncarnation incarnation = loss.life();
-        boolean hasEnded = result == Result.ENDED || (broke && result == Result.UNREACHED);
+        boolean hasEnded =
+                result == Result.ENDED || (isConnectionBroken && result == Result.UNREACHED);
         LOG.info(
                 "quarantine: {} was lost under content {}, {}, {}",
                 incarnation,
                 content,
-                broke ? "connection broken" : "silent",
+                isConnectionBroken ? "connection broken" : "silent",
                 result);
-        if (broke) {
+        if (isConnectionBroken) {
             quarantine.endInquiry(content);
         }
         if (hasEnded) {
@@ -99,22 +105,22 @@
             SilentServer server =
                     silentServers.computeIfAbsent(incarnation, i -> new SilentServer());
             server.losses.put(content, loss);
-            server.untilMs = clock.nowMs() + WATCH_MS;
+            server.watchedUntilMs = clock.nowMs() + WATCH_MS;
         }
     }
 
     /** Updates the list of servers; silent servers that are missing from it have ended. */
-    void updateListed(Set<ServerIncarnation> present) {
+    void updateListed(Set<ServerIncarnation> listedServers) {
         long now = clock.nowMs();
-        Iterator<Map.Entry<ServerIncarnation, SilentServer>> each =
+        Iterator<Map.Entry<ServerIncarnation, SilentServer>> iterator =
                 silentServers.entrySet().iterator();
-        while (each.hasNext()) {
-            Map.Entry<ServerIncarnation, SilentServer> entry = each.next();
+        while (iterator.hasNext()) {
+            Map.Entry<ServerIncarnation, SilentServer> entry = iterator.next();
             SilentServer server = entry.getValue();
-            if (now >= server.untilMs) {
-                each.remove();
-            } else if (!present.contains(entry.getKey())) {
-                each.remove();
+            if (now >= server.watchedUntilMs) {
+                iterator.remove();
+            } else if (!listedServers.contains(entry.getKey())) {
+                iterator.remove();
                 String cause = entry.getKey() + "'s entry lapsed while it ran the content";
                 server.losses.forEach(
                         (content, loss) -> quarantine.recordLoss(content, loss, cause));
--- a/masticweir/src/main/java/org/masticweir/relay/PromptCacheClient.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptCacheClient.java
@@ -33,23 +33,23 @@
     /** How long an answer is reused for other queries, in ms; engines cache prompts for seconds. */
     private static final long REUSE_MS = 300;
 
-    private final HttpCaller calls;
+    private final HttpCaller httpCaller;
     private final PlatformProtocol protocol;
-    private final AnswerMetadataRecorder answerMetadata;
+    private final AnswerMetadataRecorder metadataRecorder;
     private final Clock clock;
     private final Map<ServerIncarnation, Query> queries = new HashMap<>();
 
     /** One query to an engine. */
-    private record Query(long atMs, CompletableFuture<ImmutableSet<PromptId>> answer) {}
+    private record Query(long sentMs, CompletableFuture<ImmutableSet<PromptId>> answer) {}
 
     PromptCacheClient(
-            HttpCaller calls,
+            HttpCaller httpCaller,
             PlatformProtocol protocol,
-            AnswerMetadataRecorder answerMetadata,
+            AnswerMetadataRecorder metadataRecorder,
             Clock clock) {
-        this.calls = checkNotNull(calls, "calls");
+        this.httpCaller = checkNotNull(httpCaller, "httpCaller");
         this.protocol = checkNotNull(protocol, "protocol");
-        this.answerMetadata = checkNotNull(answerMetadata, "answerMetadata");
+        this.metadataRecorder = checkNotNull(metadataRecorder, "metadataRecorder");
         this.clock = checkNotNull(clock, "clock");
     }
 
@@ -58,17 +58,18 @@
      */
     CompletableFuture<ImmutableSet<PromptId>> cachedPrompts(BackendServer engine) {
         long now = clock.nowMs();
-        queries.values().removeIf(a -> now - a.atMs() > REUSE_MS);
+        queries.values().removeIf(a -> now - a.sentMs() > REUSE_MS);
         return queries.computeIfAbsent(
                         engine.incarnation(), incarnation -> new Query(now, query(engine)))
                 .answer();
     }
 
     private CompletableFuture<ImmutableSet<PromptId>> query(BackendServer engine) {
-        return calls.call(protocol.promptsCall(engine), TIMEOUT_MS)
+        return httpCaller
+                .call(protocol.promptsCall(engine), TIMEOUT_MS)
                 .thenApply(
                         outcome -> {
-                            answerMetadata.recordCall(engine.incarnation(), outcome);
+                            metadataRecorder.recordCall(engine.incarnation(), outcome);
                             return parse(outcome);
                         });
     }
--- a/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
@@ -16,14 +16,14 @@
 final class PromptSearch {
     private final PromptId prompt;
     private final Consumer<Optional<BackendServer>> callback;
-    private int pendingAnswers;
+    private int pendingAnswerCount;
     private boolean isEnded;
 
     private PromptSearch(
-            PromptId prompt, int askedCount, Consumer<Optional<BackendServer>> callback) {
+            PromptId prompt, int engineCount, Consumer<Optional<BackendServer>> callback) {
         this.prompt = checkNotNull(prompt, "prompt");
         this.callback = checkNotNull(callback, "callback");
-        pendingAnswers = askedCount;
+        pendingAnswerCount = engineCount;
     }
 
     /**
@@ -43,10 +43,10 @@
     }
 
     private void handleAnswer(BackendServer engine, ImmutableSet<PromptId> prompts) {
-        pendingAnswers--;
+        pendingAnswerCount--;
         if (prompts.contains(prompt)) {
             end(Optional.of(engine));
-        } else if (pendingAnswers == 0) {
+        } else if (pendingAnswerCount == 0) {
             end(Optional.empty());
         }
     }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayContext.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayContext.java
@@ -21,16 +21,16 @@
  *
  * @param sharedRetries requests permits for retries that {@code retries} does not allow by itself
  * @param limits rate limits that servers announce, and permits under them
- * @param answerMetadata records what servers announce in their answers
+ * @param metadataRecorder records what servers announce in their answers
  * @param connectTimeoutMs timeout for a connection to a server
- * @param loadsChanged runs after this router's load on servers has changed
+ * @param onLoadsChanged runs after this router's load on servers has changed
  */
 record RelayContext(
         Clock clock,
         XnioIoThread thread,
         PlatformProtocol protocol,
         ByteBufferPool buffers,
-        HttpCaller calls,
+        HttpCaller httpCaller,
         PromptCacheClient promptCaches,
         Supplier<RelayView> view,
         LoadTracker loads,
@@ -39,7 +39,7 @@
         RetryLimiter retries,
         SharedRetryPermits sharedRetries,
         SharedLimits limits,
-        AnswerMetadataRecorder answerMetadata,
+        AnswerMetadataRecorder metadataRecorder,
         SharedQuarantine quarantine,
         LossInquiry lossInquiry,
         InFlightRequests inFlight,
@@ -49,4 +49,4 @@
         RandomGenerator random,
         RelayMetrics metrics,
         long connectTimeoutMs,
-        Runnable loadsChanged) {}
+        Runnable onLoadsChanged) {}
--- a/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
@@ -56,7 +56,7 @@
     }
 
     /** A request whose head was accepted, and what was found for it in the catalog. */
-    private record Admitted(
+    private record AdmittedRequest(
             HttpHeaders headers,
             RequestMetadata caller,
             Route route,
@@ -71,7 +71,7 @@
         ExchangeCompletion.addListener(exchange, connections, admission::requestEnded);
         exchange.addResponseCommitListener(this::closeConnectionIfDraining);
         try {
-            Admitted admitted = admit(exchange, context.view().get());
+            AdmittedRequest admitted = admit(exchange, context.view().get());
             readBody(exchange, admitted);
         } catch (Refusal refusal) {
             refuse(exchange, refusal);
@@ -91,7 +91,7 @@
         }
     }
 
-    private Admitted admit(HttpServerExchange exchange, RelayView view) throws Refusal {
+    private AdmittedRequest admit(HttpServerExchange exchange, RelayView view) throws Refusal {
         long now = context.clock().nowMs();
         checkFraming(exchange);
         if (view.catalog().isEmpty()) {
@@ -112,7 +112,8 @@
         if (exchange.getRequestContentLength() > catalog.limits().maxBodyBytes()) {
             throw new Refusal(ErrorCode.BODY_TOO_LARGE, "the body is too long");
         }
-        return new Admitted(headers, caller, route, team.map(Team::id), service, engine, now);
+        return new AdmittedRequest(
+                headers, caller, route, team.map(Team::id), service, engine, now);
     }
 
     /**
@@ -122,11 +123,11 @@
      * body is complete only late would be cut off at its server, so this is checked again after the
      * body.
      *
-     * @param isComplete whether the body has been read, too; this is called before and after
+     * @param isBodyRead whether the body has been read, too; this is called before and after
      *     reading it
      */
     private void checkAdmission(
-            Route route, RequestMetadata caller, long receivedMs, boolean isComplete)
+            Route route, RequestMetadata caller, long receivedMs, boolean isBodyRead)
             throws Refusal {
         long now = context.clock().nowMs();
         OptionalLong expectedMs =
@@ -137,7 +138,7 @@
                 route.streams()
                         ? admission.admitsStream(expectedMs, now)
                         : admission.admits(expectedMs.getAsLong(), now);
-        if (admission.isDraining() && (isComplete || !isAdmitted)) {
+        if (admission.isDraining() && (isBodyRead || !isAdmitted)) {
             LOG.info(
                     "relay: request {} {} {} ms after the order to leave, it needs {} ms of {} ms",
                     caller.requestId(),
@@ -163,9 +164,9 @@
      * of the body would run at the server as a request that no caller sent.
      */
     private static void checkFraming(HttpServerExchange exchange) throws Refusal {
-        int lengths = count(exchange, Headers.CONTENT_LENGTH_STRING);
-        int encodings = count(exchange, Headers.TRANSFER_ENCODING_STRING);
-        if (lengths + encodings > 1) {
+        int lengthCount = count(exchange, Headers.CONTENT_LENGTH_STRING);
+        int encodingCount = count(exchange, Headers.TRANSFER_ENCODING_STRING);
+        if (lengthCount + encodingCount > 1) {
             throw new Refusal(ErrorCode.BAD_REQUEST, "two lengths");
         }
     }
@@ -209,7 +210,7 @@
                 : new Refusal(ErrorCode.NO_CONFIGURATION, "the configuration may be old");
     }
 
-    private void readBody(HttpServerExchange exchange, Admitted admitted) {
+    private void readBody(HttpServerExchange exchange, AdmittedRequest admitted) {
         Receiver receiver = exchange.getRequestReceiver();
         receiver.receiveFullBytes(
                 (ex, body) ->
@@ -221,17 +222,17 @@
                             "relay: body of request {} could not be read, {}",
                             admitted.caller().requestId(),
                             e.getMessage());
-                    boolean tooLong = e instanceof Receiver.RequestToLargeException;
+                    boolean isTooLong = e instanceof Receiver.RequestToLargeException;
                     ex.setPersistent(false);
                     refuse(
                             ex,
                             new Refusal(
-                                    tooLong ? ErrorCode.BODY_TOO_LARGE : ErrorCode.BAD_REQUEST,
+                                    isTooLong ? ErrorCode.BODY_TOO_LARGE : ErrorCode.BAD_REQUEST,
                                     "the body could not be read"));
                 });
     }
 
-    private void startOrRefuse(HttpServerExchange exchange, Admitted admitted, byte[] body) {
+    private void startOrRefuse(HttpServerExchange exchange, AdmittedRequest admitted, byte[] body) {
         try {
             checkAdmission(admitted.route(), admitted.caller(), admitted.receivedMs(), true);
             start(exchange, admitted, body);
@@ -240,9 +241,9 @@
         }
     }
 
-    private void start(HttpServerExchange exchange, Admitted admitted, byte[] body) {
+    private void start(HttpServerExchange exchange, AdmittedRequest admitted, byte[] body) {
         long timeoutMs = timeoutMs(admitted.route(), admitted.caller());
-        RequestParameters plan =
+        RequestParameters params =
                 new RequestParameters(
                         admitted.route(),
                         admitted.service(),
@@ -255,7 +256,7 @@
         RelayRequest request =
                 RelayRequest.of(
                         exchange,
-                        plan,
+                        params,
                         admitted.caller(),
                         admitted.team(),
                         admitted.headers(),
@@ -270,7 +271,7 @@
                 exchange.getRequestURI(),
                 refusal.code,
                 refusal.getMessage());
-        context.metrics().countRefusedUnread(refusal.code);
+        context.metrics().countEarlyRefusal(refusal.code);
         new CallerAnswerWriter(exchange, () -> {})
                 .sendError(refusal.code, retryAfterMs(refusal.code), refusal.getMessage());
     }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayMetrics.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayMetrics.java
@@ -33,9 +33,9 @@
 
     private final MetricRegistry registry;
     private final Clock clock;
-    private final BoundedLabels classes = BoundedLabels.of(MAX_LABELS);
-    private final BoundedLabels teams = BoundedLabels.of(MAX_LABELS);
-    private final BoundedLabels servers = BoundedLabels.of(MAX_LABELS);
+    private final BoundedLabels classLabels = BoundedLabels.of(MAX_LABELS);
+    private final BoundedLabels teamLabels = BoundedLabels.of(MAX_LABELS);
+    private final BoundedLabels serverLabels = BoundedLabels.of(MAX_LABELS);
 
     private RelayMetrics(MetricRegistry registry, Clock clock) {
         this.registry = checkNotNull(registry, "registry");
@@ -60,27 +60,28 @@
     /** Returns the metrics of one request. */
     RequestMetrics request(String route, Optional<TeamId> team) {
         return new RequestMetrics(
-                classes.shownAs(route), teams.shownAs(team.map(TeamId::value).orElse(NO_TEAM)));
+                classLabels.shownAs(route),
+                teamLabels.shownAs(team.map(TeamId::value).orElse(NO_TEAM)));
     }
 
     /** Counts a request that was refused before its route was known or before it was admitted. */
-    void countRefusedUnread(ErrorCode code) {
-        count("requests_refused_unread_total", "outcome", lower(code));
+    void countEarlyRefusal(ErrorCode code) {
+        count("requests_refused_unread_total", "outcome", lowerCaseName(code));
     }
 
     /**
      * Counts a send to {@code server}; {@code sends} is the number of sends of the request so far,
      * this one included.
      */
-    void countSend(BackendServer server, int sends) {
-        String again = sends > 1 ? "yes" : "no";
+    void countSend(BackendServer server, int sendCount) {
+        String again = sendCount > 1 ? "yes" : "no";
         count("sends_total", "domain", server.domain().value(), "again", again);
     }
 
     /** Counts the end of a send to {@code server}. */
     void countSendEnd(BackendServer server, SendEnd end) {
-        String shown = servers.shownAs(server.id().value());
-        count("sends_ended_total", "server", shown, "cause", lower(end));
+        String serverLabel = serverLabels.shownAs(server.id().value());
+        count("sends_ended_total", "server", serverLabel, "cause", lowerCaseName(end));
     }
 
     /**
@@ -111,10 +112,10 @@
         }
 
         void countFailure(ErrorCode code) {
-            countEnd(lower(code));
+            countEnd(lowerCaseName(code));
         }
 
-        void countCallerLeft() {
+        void countCallerDisconnect() {
             countEnd("caller_left");
         }
 
@@ -134,7 +135,7 @@
                 () -> new Histogram(WindowedReservoir.of(clock, WINDOW_MS)));
     }
 
-    private static String lower(Enum<?> value) {
+    private static String lowerCaseName(Enum<?> value) {
         return Ascii.toLowerCase(value.name());
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
@@ -17,7 +17,7 @@
  * @param body not copied, as it may be long and is only read
  */
 record RelayRequest(
-        RequestParameters plan,
+        RequestParameters params,
         RequestMetadata caller,
         Optional<TeamId> team,
         String method,
@@ -25,7 +25,7 @@
         HttpHeaders headers,
         byte[] body) {
     RelayRequest {
-        checkNotNull(plan, "plan");
+        checkNotNull(params, "params");
         checkNotNull(caller, "caller");
         checkNotNull(team, "team");
         checkNotNull(method, "method");
@@ -36,7 +36,7 @@
 
     static RelayRequest of(
             HttpServerExchange exchange,
-            RequestParameters plan,
+            RequestParameters params,
             RequestMetadata caller,
             Optional<TeamId> team,
             HttpHeaders headers,
@@ -44,7 +44,7 @@
         String query = exchange.getQueryString();
         String path = exchange.getRequestURI() + (query.isEmpty() ? "" : "?" + query);
         String method = exchange.getRequestMethod().toString();
-        return new RelayRequest(plan, caller, team, method, path, headers, body);
+        return new RelayRequest(params, caller, team, method, path, headers, body);
     }
 
     /** Returns the caller's id of the attempt. */
@@ -54,7 +54,7 @@
 
     /** Returns the HTTP call for {@code send}. */
     HttpCall toCall(Step.Send send, PlatformProtocol protocol, long nowMs) {
-        long leftMs = Math.max(1, plan.expiresMs() - nowMs);
+        long leftMs = Math.max(1, params.expiresMs() - nowMs);
         SendMetadata head = new SendMetadata(caller.requestId(), send, team, leftMs);
         return new HttpCall(
                 method,
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
@@ -409,7 +409,7 @@
      * attempted at the moment when the router takes over the port are refused.
      */
     public CompletableFuture<Void> servingFuture() {
-        return callersPort.opened();
+        return callersPort.openedFuture();
     }
 
     /**
--- a/masticweir/src/main/java/org/masticweir/relay/RequestLifecycle.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLifecycle.java
@@ -24,15 +24,15 @@
  */
 final class RequestLifecycle implements InFlightRequests.Request {
     private final RelayContext context;
-    private final RequestParameters plan;
+    private final RequestParameters params;
     private final RelayRequest request;
     private final RequestStateMachine machine;
     private final RequestLog log;
     private final RelayMetrics.RequestMetrics metrics;
-    private final CallerAnswerWriter answer;
+    private final CallerAnswerWriter writer;
     private final CallerDisconnectDetector detector;
     private final EventRelay events;
-    private final ContentTrial trial;
+    private final ContentMonitor monitor;
     private final RequestTimer timer;
     private final RequestPermits permits;
 
@@ -51,25 +51,25 @@
     RequestLifecycle(RelayContext context, RelayRequest request, HttpServerExchange exchange) {
         this.context = checkNotNull(context, "context");
         this.request = checkNotNull(request, "request");
-        plan = request.plan();
-        trial = new ContentTrial(context, request);
+        params = request.params();
+        monitor = new ContentMonitor(context, request);
         timer = new RequestTimer(context.thread());
         log = new RequestLog(context, request);
         permits = new RequestPermits(context, log);
-        metrics = context.metrics().request(plan.route().name(), request.team());
+        metrics = context.metrics().request(params.route().name(), request.team());
         machine =
                 RequestStateMachine.of(
-                        plan,
-                        () -> context.view().get().serversOf(plan.service()),
+                        params,
+                        () -> context.view().get().serversOf(params.service()),
                         context.selector(),
                         context.health(),
                         context.retries(),
-                        trial.policy(),
+                        monitor.policy(),
                         context.waitQueue(),
                         context.random());
-        answer = new CallerAnswerWriter(exchange, this::handleCallerDisconnect);
+        writer = new CallerAnswerWriter(exchange, this::handleCallerDisconnect);
         detector = CallerDisconnectDetector.start(exchange, this::handleCallerDisconnect);
-        events = new EventRelay(context, plan, machine, answer, metrics, log);
+        events = new EventRelay(context, params, machine, writer, metrics, log);
     }
 
     void start() {
@@ -94,7 +94,7 @@
             permits.requestServerPermit(
                     permit.server(), permit.urgency(), granted -> onPermit(permit, granted));
         } else if (step instanceof Step.AcquireRetryPermit retry) {
-            permits.requestRetryPermit(plan.service(), retry.urgency(), this::onRetryPermit);
+            permits.requestRetryPermit(params.service(), retry.urgency(), this::onRetryPermit);
         } else if (step instanceof Step.Wait wait) {
             timer.set(wait.delayMs(), () -> execute(machine.next(now())));
         } else {
@@ -118,7 +118,7 @@
         PromptSearch.start(
                 query.engines(),
                 context.promptCaches(),
-                plan.prompt().orElseThrow(),
+                params.prompt().orElseThrow(),
                 engine -> {
                     if (!isEnded) {
                         log.logPromptSearch(query.engines().size(), engine);
@@ -134,14 +134,14 @@
         }
         sendNumber++;
         isSendWritten = false;
-        trial.beginSend();
+        monitor.beginSend();
         int number = sendNumber;
         log.logSend(next, number);
         context.metrics().countSend(next.server(), sendNumber);
-        loadEntry = Optional.of(LoadEntry.open(context.loads(), next, plan.size()));
-        context.loadsChanged().run();
-        silence = SilenceTimer.of(next, plan, context.loads(), context.silenceTimeouts(), now());
-        ServerSend opened =
+        loadEntry = Optional.of(LoadEntry.open(context.loads(), next, params.size()));
+        context.onLoadsChanged().run();
+        silence = SilenceTimer.of(next, params, context.loads(), context.silenceTimeouts(), now());
+        ServerSend newSend =
                 ServerSend.open(
                         context.thread(),
                         context.buffers(),
@@ -149,15 +149,15 @@
                         () -> callTo(next, number),
                         context.connectTimeoutMs(),
                         request.id(),
-                        plan.route().streams(),
+                        params.route().streams(),
                         context.protocol(),
                         new Listener(next, number));
         // The connection may have failed, or the request ended, before open() returned.
         if (!isEnded && number == sendNumber && silence != null) {
-            send = Optional.of(opened);
+            send = Optional.of(newSend);
             scheduleTimer();
         } else {
-            opened.close();
+            newSend.close();
         }
     }
 
@@ -171,7 +171,7 @@
             return Optional.empty();
         }
         long now = now();
-        if (now >= plan.expiresMs() || !machine.mayStillSend(next.server(), now)) {
+        if (now >= params.expiresMs() || !machine.mayStillSend(next.server(), now)) {
             logNotRun(next.server(), SendEnd.NOT_REACHED, "was reached too late", silence.sentMs());
             abortUnwrittenSend();
             closeSend();
@@ -192,8 +192,8 @@
 
     /** Sets the timer to the deadline or, if earlier, to the check for silence or slowness. */
     private void scheduleTimer() {
-        long dueMs = plan.expiresMs();
-        if (plan.route().streams()) {
+        long dueMs = params.expiresMs();
+        if (params.route().streams()) {
             dueMs = Math.min(dueMs, silence.nextCheckMs(now()));
         } else if (machine.hedgeDelayMs().isPresent()) {
             dueMs = Math.min(dueMs, silence.sentMs() + machine.hedgeDelayMs().getAsLong());
@@ -203,16 +203,16 @@
 
     private void handleTimer() {
         long now = now();
-        if (now >= plan.expiresMs()) {
+        if (now >= params.expiresMs()) {
             abortUnwrittenSend();
             end(machine.endAtDeadline());
             return;
         }
-        if (plan.route().streams() && silence.needsAction(context.health(), now)) {
+        if (params.route().streams() && silence.needsAction(context.health(), now)) {
             inquireSilence(now);
             return;
         }
-        if (!plan.route().streams()) {
+        if (!params.route().streams()) {
             handleSlowAnswer(now);
             return;
         }
@@ -220,42 +220,42 @@
     }
 
     private void inquireSilence(long now) {
-        SilenceTimer inquired = silence;
-        new SilenceInquiry(context, log, request.id(), inquired)
+        SilenceTimer inquiredTimer = silence;
+        new SilenceInquiry(context, log, request.id(), inquiredTimer)
                 .start(
                         now,
-                        () -> !isEnded && silence == inquired,
+                        () -> !isEnded && silence == inquiredTimer,
                         loss -> loss.ifPresentOrElse(this::handleServerLoss, this::scheduleTimer));
     }
 
     private void handleServerLoss(String reason) {
         BackendServer server = silence.server();
         logLost(server, SendEnd.SILENT, reason, silence.sentMs());
-        trial.recordLoss(server, silence.sentMs(), false, now());
+        monitor.recordLoss(server, silence.sentMs(), false, now());
         events.handleServerLoss();
         closeSend();
         execute(machine.onSendLost(server, now()));
-        context.loadsChanged().run();
+        context.onLoadsChanged().run();
     }
 
     private void handleSlowAnswer(long now) {
-        timer.set(Math.max(1, plan.expiresMs() - now), this::handleTimer);
+        timer.set(Math.max(1, params.expiresMs() - now), this::handleTimer);
         machine.onSlowAnswer(now).ifPresent(this::retryElsewhere);
     }
 
     /** Abandons the current send once a permit for a retry is granted. */
     private void retryElsewhere(Step step) {
-        SilenceTimer abandoned = silence;
+        SilenceTimer oldTimer = silence;
         if (step instanceof Step.Send) {
-            logLost(abandoned.server(), SendEnd.SILENT, "sent no answer", abandoned.sentMs());
+            logLost(oldTimer.server(), SendEnd.SILENT, "sent no answer", oldTimer.sentMs());
             closeSend();
             execute(step);
         } else if (step instanceof Step.AcquireRetryPermit retry) {
             permits.requestRetryPermit(
-                    plan.service(),
+                    params.service(),
                     retry.urgency(),
                     granted -> {
-                        if (!isEnded && silence == abandoned) {
+                        if (!isEnded && silence == oldTimer) {
                             retryElsewhere(machine.onRetryDecision(granted, now()));
                         }
                     });
@@ -264,23 +264,23 @@
 
     /** Records the end of a send that may have run and has no complete answer. */
     private void logLost(BackendServer server, SendEnd end, String what, long sentMs) {
-        log.logLoss(server, what, sentMs, trial.eventCount(), trial.content());
+        log.logLoss(server, what, sentMs, monitor.eventCount(), monitor.content());
         context.metrics().countSendEnd(server, end);
     }
 
     @Override
     public ContentId content() {
-        return trial.content();
+        return monitor.content();
     }
 
     @Override
     public boolean runsLongerThanTrial() {
-        return !isEnded && silence != null && !trial.hasJustBegun(now());
+        return !isEnded && silence != null && !monitor.hasJustBegun(now());
     }
 
     @Override
     public void onQuarantined() {
-        if (!isEnded && silence != null && trial.hasJustBegun(now())) {
+        if (!isEnded && silence != null && monitor.hasJustBegun(now())) {
             logLost(silence.server(), SendEnd.STOPPED, "was left", silence.sentMs());
             abortUnwrittenSend();
             end(machine.endInQuarantine(now()));
@@ -301,7 +301,7 @@
     }
 
     private void closeSend() {
-        trial.endSend();
+        monitor.endSend();
         send.ifPresent(ServerSend::close);
         send = Optional.empty();
         silence = null;
@@ -309,7 +309,7 @@
         if (loadEntry.isPresent()) {
             loadEntry.get().close();
             loadEntry = Optional.empty();
-            context.loadsChanged().run();
+            context.onLoadsChanged().run();
         }
     }
 
@@ -320,25 +320,25 @@
         log.logEnd(end, machine.sendCount());
         metrics.countFailure(end.code());
         release();
-        answer.sendError(end.code(), end.retryAfterMs(), end.reason());
+        writer.sendError(end.code(), end.retryAfterMs(), end.reason());
     }
 
     private void handleCallerDisconnect() {
         if (isEnded) {
             return;
         }
-        log.logCallerLeft(describeStage());
-        metrics.countCallerLeft();
+        log.logCallerDisconnect(describeStage());
+        metrics.countCallerDisconnect();
         abortUnwrittenSend();
         release();
-        answer.abort();
+        writer.abort();
     }
 
     private String describeStage() {
         if (send.isEmpty()) {
             return "at no server after " + machine.sendCount() + " sends";
         }
-        String events = trial.eventCount() == 0 ? "without an event" : "after an event";
+        String events = monitor.eventCount() == 0 ? "without an event" : "after an event";
         return "at " + silence.server().id() + " in send " + sendNumber + ", " + events;
     }
 
@@ -357,12 +357,12 @@
 
     /** Handles the events of one send; ignores those of an earlier send. */
     private final class Listener implements SendListener {
-        private final Step.Send sent;
+        private final Step.Send step;
         private final int number;
         private final long sentMs = now();
 
-        Listener(Step.Send sent, int number) {
-            this.sent = sent;
+        Listener(Step.Send step, int number) {
+            this.step = step;
             this.number = number;
         }
 
@@ -373,8 +373,8 @@
         @Override
         public void onHead(AnswerMetadata metadata) {
             if (!isStale()) {
-                context.answerMetadata()
-                        .recordAnswer(sent.server().incarnation(), metadata, request.id(), sentMs);
+                context.metadataRecorder()
+                        .recordAnswer(step.server().incarnation(), metadata, request.id(), sentMs);
             }
         }
 
@@ -384,13 +384,13 @@
                 return;
             }
             long now = now();
-            context.health().recordAnswer(sent.server().incarnation(), now);
-            trial.recordEvent(now);
+            context.health().recordAnswer(step.server().incarnation(), now);
+            monitor.recordEvent(now);
             if (silence.recordEvent(now)) {
                 loadEntry.ifPresent(LoadEntry::endPrefill);
-                context.loadsChanged().run();
+                context.onLoadsChanged().run();
             }
-            events.forward(sent.server(), head, bytes, id, now);
+            events.forward(step.server(), head, bytes, id, now);
         }
 
         @Override
@@ -398,14 +398,14 @@
             if (isStale()) {
                 return;
             }
-            metrics.recordAnswer(now() - plan.receivedMs());
-            context.metrics().countSendEnd(sent.server(), SendEnd.ANSWERED);
-            trial.recordAnswer();
+            metrics.recordAnswer(now() - params.receivedMs());
+            context.metrics().countSendEnd(step.server(), SendEnd.ANSWERED);
+            monitor.recordAnswer();
             log.logAnswer(
                     "last event " + RequestLog.text(machine.lastEventId()), machine.sendCount());
             events.handleEnd(head, now());
             release();
-            answer.endEventStream();
+            writer.endEventStream();
         }
 
         @Override
@@ -413,10 +413,10 @@
             if (isStale()) {
                 return;
             }
-            context.health().recordAnswer(sent.server().incarnation(), now());
+            context.health().recordAnswer(step.server().incarnation(), now());
             recordLoad(metadata);
-            trial.recordAnswer();
-            context.metrics().countSendEnd(sent.server(), SendEnd.ANSWERED);
+            monitor.recordAnswer();
+            context.metrics().countSendEnd(step.server(), SendEnd.ANSWERED);
             closeSend();
             Optional<Step> next =
                     head.status() >= 500 ? machine.onErrorAnswer(now()) : Optional.empty();
@@ -430,15 +430,15 @@
 
         private void deliver(HttpHead head, byte[] bytes) {
             errorAnswer = Optional.empty();
-            if (answer.isStreaming()) {
-                execute(machine.onSendLost(sent.server(), now()));
+            if (writer.isStreaming()) {
+                execute(machine.onSendLost(step.server(), now()));
                 return;
             }
-            metrics.recordAnswer(now() - plan.receivedMs());
+            metrics.recordAnswer(now() - params.receivedMs());
             log.logAnswer(
-                    "status " + head.status() + " of " + sent.server().id(), machine.sendCount());
+                    "status " + head.status() + " of " + step.server().id(), machine.sendCount());
             release();
-            answer.sendComplete(
+            writer.sendComplete(
                     new HttpHead(head.status(), context.protocol().headersToCaller(head.headers())),
                     bytes);
         }
@@ -451,16 +451,16 @@
             closeSend();
             String what = "refused with " + head.status();
             if (metadata.isWrongServer()) {
-                logNotRun(sent.server(), SendEnd.REFUSED, what, sentMs);
-                execute(machine.onWrongServer(sent.server(), now()));
-                context.loadsChanged().run();
+                logNotRun(step.server(), SendEnd.REFUSED, what, sentMs);
+                execute(machine.onWrongServer(step.server(), now()));
+                context.onLoadsChanged().run();
                 return;
             }
             recordLoad(metadata);
             long deprioritizedMs =
-                    context.health().recordRefusal(sent.server().incarnation(), now());
+                    context.health().recordRefusal(step.server().incarnation(), now());
             logNotRun(
-                    sent.server(),
+                    step.server(),
                     SendEnd.REFUSED,
                     what + " and is the last choice for " + deprioritizedMs + " ms,",
                     sentMs);
@@ -473,9 +473,9 @@
                 return;
             }
             closeSend();
-            logNotRun(sent.server(), SendEnd.NOT_REACHED, "could not be reached", sentMs);
-            execute(machine.onConnectFailed(sent.server(), now()));
-            context.loadsChanged().run();
+            logNotRun(step.server(), SendEnd.NOT_REACHED, "could not be reached", sentMs);
+            execute(machine.onConnectFailed(step.server(), now()));
+            context.onLoadsChanged().run();
         }
 
         @Override
@@ -485,14 +485,14 @@
             }
             events.handleServerLoss();
             closeSend();
-            logLost(sent.server(), SendEnd.BROKE_OFF, "lost it, " + reason, sentMs);
-            trial.recordLoss(sent.server(), sentMs, true, now());
-            execute(machine.onSendLost(sent.server(), now()));
-            context.loadsChanged().run();
+            logLost(step.server(), SendEnd.BROKE_OFF, "lost it, " + reason, sentMs);
+            monitor.recordLoss(step.server(), sentMs, true, now());
+            execute(machine.onSendLost(step.server(), now()));
+            context.onLoadsChanged().run();
         }
 
         private void recordLoad(AnswerMetadata metadata) {
-            ServerIncarnation incarnation = sent.server().incarnation();
+            ServerIncarnation incarnation = step.server().incarnation();
             metadata.requestCount()
                     .ifPresent(n -> context.loads().recordServerReport(incarnation, n, now()));
         }
--- a/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
@@ -29,7 +29,7 @@
     RequestLog(RelayContext context, RelayRequest request) {
         this.context = checkNotNull(context, "context");
         id = request.id();
-        receivedMs = request.plan().receivedMs();
+        receivedMs = request.params().receivedMs();
     }
 
     /** Logs a send; {@code number} counts the sends of the request from 1. */
@@ -51,12 +51,12 @@
     }
 
     /** Logs which engine has the request's prompt in its cache. */
-    void logPromptSearch(int askedCount, Optional<BackendServer> engine) {
+    void logPromptSearch(int engineCount, Optional<BackendServer> engine) {
         LOG.info(
                 "relay: request {}: its prompt is kept by {}, {} engines asked",
                 id,
                 engine.map(e -> e.id().value()).orElse("none"),
-                askedCount);
+                engineCount);
     }
 
     /** Logs an event at the server of the send that was sent at {@code sentMs}. */
@@ -74,7 +74,8 @@
      * Logs that the send of {@code sentMs} ended without a complete answer, after {@code events}
      * events.
      */
-    void logLoss(BackendServer server, String what, long sentMs, int events, ContentId content) {
+    void logLoss(
+            BackendServer server, String what, long sentMs, int eventCount, ContentId content) {
         LOG.info(
                 "relay: request {}: {} in {} {} after {} ms and {} events, content {}",
                 id,
@@ -82,7 +83,7 @@
                 server.domain(),
                 what,
                 context.clock().nowMs() - sentMs,
-                events,
+                eventCount,
                 content);
     }
 
@@ -147,7 +148,7 @@
     }
 
     /** Logs that the caller disconnected; {@code stage} states how far the request had come. */
-    void logCallerLeft(String stage) {
+    void logCallerDisconnect(String stage) {
         LOG.info("relay: request {} was left by its caller after {} ms, {}", id, ageMs(), stage);
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/RequestTimer.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestTimer.java
@@ -13,7 +13,7 @@
 final class RequestTimer implements AutoCloseable {
     private final XnioIoThread thread;
     private Optional<XnioExecutor.Key> key = Optional.empty();
-    private int number;
+    private int generation;
 
     RequestTimer(XnioIoThread thread) {
         this.thread = checkNotNull(thread, "thread");
@@ -22,12 +22,12 @@
     /** Runs {@code task} after {@code ms}, unless the timer is set again or closed before. */
     void set(long ms, Runnable task) {
         close();
-        int own = number;
+        int taskGeneration = generation;
         key =
                 Optional.of(
                         thread.executeAfter(
                                 () -> {
-                                    if (own == number) {
+                                    if (taskGeneration == generation) {
                                         task.run();
                                     }
                                 },
@@ -38,7 +38,7 @@
     /** Cancels the timer; it may be set again. */
     @Override
     public void close() {
-        number++;
+        generation++;
         key.ifPresent(XnioExecutor.Key::remove);
         key = Optional.empty();
     }
--- a/masticweir/src/main/java/org/masticweir/relay/ServerProbe.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerProbe.java
@@ -35,11 +35,11 @@
      */
     private static final int MAX_CALLS = 2;
 
-    private final HttpCaller calls;
+    private final HttpCaller httpCaller;
     private final PlatformProtocol protocol;
     private final SharedLimits limits;
-    private final AnswerMetadataRecorder answerMetadata;
-    private final Map<ServerIncarnation, List<Consumer<Result>>> pending = new HashMap<>();
+    private final AnswerMetadataRecorder metadataRecorder;
+    private final Map<ServerIncarnation, List<Consumer<Result>>> pendingCallbacks = new HashMap<>();
 
     /** Result of a probe. */
     enum Result {
@@ -52,45 +52,47 @@
     }
 
     ServerProbe(
-            HttpCaller calls,
+            HttpCaller httpCaller,
             PlatformProtocol protocol,
             SharedLimits limits,
-            AnswerMetadataRecorder answerMetadata) {
-        this.calls = checkNotNull(calls, "calls");
+            AnswerMetadataRecorder metadataRecorder) {
+        this.httpCaller = checkNotNull(httpCaller, "httpCaller");
         this.protocol = checkNotNull(protocol, "protocol");
         this.limits = checkNotNull(limits, "limits");
-        this.answerMetadata = checkNotNull(answerMetadata, "answerMetadata");
+        this.metadataRecorder = checkNotNull(metadataRecorder, "metadataRecorder");
     }
 
     /** Calls {@code callback} once with the result of a probe of {@code server}. */
     void probe(BackendServer server, Optional<Catalog> catalog, Consumer<Result> callback) {
-        List<Consumer<Result>> others = pending.get(server.incarnation());
-        if (others != null) {
-            others.add(callback);
+        List<Consumer<Result>> waitingCallbacks = pendingCallbacks.get(server.incarnation());
+        if (waitingCallbacks != null) {
+            waitingCallbacks.add(callback);
             return;
         }
         Optional<ServiceSpec> spec = catalog.flatMap(c -> c.service(server.service()));
         Optional<HttpCall> call = spec.flatMap(s -> callTo(server, s));
-        if (call.isEmpty() || answerMetadata.isPausing(server.incarnation())) {
+        if (call.isEmpty() || metadataRecorder.isPausing(server.incarnation())) {
             callback.accept(Result.UNKNOWN);
             return;
         }
         List<Consumer<Result>> callbacks = new ArrayList<>(List.of(callback));
-        pending.put(server.incarnation(), callbacks);
+        pendingCallbacks.put(server.incarnation(), callbacks);
         call(server, call.get(), spec.get().engine().isPresent(), 1);
     }
 
-    private void call(BackendServer server, HttpCall call, boolean isEngine, int number) {
+    private void call(BackendServer server, HttpCall call, boolean isEngine, int callNumber) {
         limits.recordProbe(server.incarnation());
-        CompletableFuture<HttpOutcome> answer = calls.call(call, TIMEOUT_MS);
+        CompletableFuture<HttpOutcome> answer = httpCaller.call(call, TIMEOUT_MS);
         answer.thenAccept(
                 outcome -> {
-                    answerMetadata.recordCall(server.incarnation(), outcome);
-                    if (outcome instanceof HttpOutcome.MayHaveBeenSent && number < MAX_CALLS) {
-                        call(server, call, isEngine, number + 1);
+                    metadataRecorder.recordCall(server.incarnation(), outcome);
+                    if (outcome instanceof HttpOutcome.MayHaveBeenSent && callNumber < MAX_CALLS) {
+                        call(server, call, isEngine, callNumber + 1);
                     } else {
                         Result result = toResult(server, isEngine, outcome);
-                        pending.remove(server.incarnation()).forEach(c -> c.accept(result));
+                        pendingCallbacks
+                                .remove(server.incarnation())
+                                .forEach(c -> c.accept(result));
                     }
                 });
     }
--- a/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
@@ -32,20 +32,23 @@
     private static final int MAX_ANSWER_BYTES = 8 << 20;
 
     private final String requestId;
-    private final boolean streams;
+    private final boolean isStreaming;
     private final PlatformProtocol protocol;
     private final SendListener listener;
     private final EventSplitter splitter = new EventSplitter();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private Optional<HttpStream> http = Optional.empty();
+    private Optional<HttpStream> httpStream = Optional.empty();
     private HttpHead head;
     private AnswerMetadata metadata;
     private boolean isEnded;
 
     private ServerSend(
-            String requestId, boolean streams, PlatformProtocol protocol, SendListener listener) {
+            String requestId,
+            boolean isStreaming,
+            PlatformProtocol protocol,
+            SendListener listener) {
         this.requestId = checkNotNull(requestId, "requestId");
-        this.streams = streams;
+        this.isStreaming = isStreaming;
         this.protocol = checkNotNull(protocol, "protocol");
         this.listener = checkNotNull(listener, "listener");
     }
@@ -53,26 +56,26 @@
     /**
      * Connects to {@code address} and sends the call that {@code call} then returns.
      *
-     * @param call evaluated once the connection is established; empty if there is no longer
+     * @param callSupplier evaluated once the connection is established; empty if there is no longer
      *     anything to send
      * @param requestId id that the answer must have
-     * @param streams whether a successful answer is an event stream
+     * @param isStreaming whether a successful answer is an event stream
      */
     static ServerSend open(
             XnioIoThread thread,
             ByteBufferPool buffers,
             InetSocketAddress address,
-            Supplier<Optional<HttpCall>> call,
+            Supplier<Optional<HttpCall>> callSupplier,
             long connectTimeoutMs,
             String requestId,
-            boolean streams,
+            boolean isStreaming,
             PlatformProtocol protocol,
             SendListener listener) {
-        ServerSend send = new ServerSend(requestId, streams, protocol, listener);
-        HttpStreamListener bytes = send.new AnswerReader();
+        ServerSend send = new ServerSend(requestId, isStreaming, protocol, listener);
+        HttpStreamListener reader = send.new AnswerReader();
         HttpStream stream =
-                HttpStream.open(thread, buffers, address, call, connectTimeoutMs, bytes);
-        send.http = Optional.of(stream);
+                HttpStream.open(thread, buffers, address, callSupplier, connectTimeoutMs, reader);
+        send.httpStream = Optional.of(stream);
         if (send.isEnded) {
             stream.close();
         }
@@ -83,11 +86,11 @@
     @Override
     public void close() {
         isEnded = true;
-        http.ifPresent(HttpStream::close);
+        httpStream.ifPresent(HttpStream::close);
     }
 
     private boolean isEventStream() {
-        return streams && head.isSuccess();
+        return isStreaming && head.isSuccess();
     }
 
     private void discard(String reason) {
@@ -166,11 +169,11 @@
         }
 
         @Override
-        public void lost(boolean sent) {
+        public void lost(boolean isSent) {
             if (isEnded) {
                 return;
             }
-            if (sent) {
+            if (isSent) {
                 discard("the connection broke");
                 return;
             }
--- a/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
@@ -16,13 +16,14 @@
     private final RelayContext context;
     private final RequestLog log;
     private final String requestId;
-    private final SilenceTimer silence;
+    private final SilenceTimer silenceTimer;
 
-    SilenceInquiry(RelayContext context, RequestLog log, String requestId, SilenceTimer silence) {
+    SilenceInquiry(
+            RelayContext context, RequestLog log, String requestId, SilenceTimer silenceTimer) {
         this.context = checkNotNull(context, "context");
         this.log = checkNotNull(log, "log");
         this.requestId = checkNotNull(requestId, "requestId");
-        this.silence = checkNotNull(silence, "silence");
+        this.silenceTimer = checkNotNull(silenceTimer, "silenceTimer");
     }
 
     /**
@@ -32,17 +33,17 @@
      * @param isRelevant whether the result still matters; if not, {@code callback} is not called
      */
     void start(long nowMs, BooleanSupplier isRelevant, Consumer<Optional<String>> callback) {
-        if (silence.isLossCertain()) {
-            callback.accept(Optional.of("silent for " + silence.silentMs(nowMs) + " ms"));
-        } else if (context.answerMetadata().isPausing(silence.server().incarnation())) {
+        if (silenceTimer.isLossCertain()) {
+            callback.accept(Optional.of("silent for " + silenceTimer.silentMs(nowMs) + " ms"));
+        } else if (context.metadataRecorder().isPausing(silenceTimer.server().incarnation())) {
             callback.accept(checkDuringPause(nowMs));
         } else {
             EngineStatusProbe.probe(
                     context,
-                    silence.server(),
+                    silenceTimer.server(),
                     report -> {
                         if (isRelevant.getAsBoolean()) {
-                            log.logReport(silence.server(), report, silence.sentMs());
+                            log.logReport(silenceTimer.server(), report, silenceTimer.sentMs());
                             callback.accept(lossReason(report));
                         }
                     });
@@ -54,10 +55,10 @@
      * alive unless other sends to it have failed.
      */
     private Optional<String> checkDuringPause(long nowMs) {
-        if (context.health().isDown(silence.server(), nowMs)) {
+        if (context.health().isDown(silenceTimer.server(), nowMs)) {
             return Optional.of("failed during its pause");
         }
-        silence.restart(nowMs);
+        silenceTimer.restart(nowMs);
         return Optional.empty();
     }
 
@@ -65,15 +66,15 @@
         if (report.isEmpty()) {
             return Optional.of("no sign of life");
         }
-        if (!report.get().isFrom(silence.server().incarnation())) {
-            context.health().recordGone(silence.server());
+        if (!report.get().isFrom(silenceTimer.server().incarnation())) {
+            context.health().recordGone(silenceTimer.server());
             return Optional.of("has started again");
         }
         long now = context.clock().nowMs();
-        if (!silence.recordReport(report.get(), requestId, now)) {
+        if (!silenceTimer.recordReport(report.get(), requestId, now)) {
             return Optional.of("does not have the request any more");
         }
-        context.health().recordAnswer(silence.server().incarnation(), now);
+        context.health().recordAnswer(silenceTimer.server().incarnation(), now);
         return Optional.empty();
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/StartupListener.java
+++ b/masticweir/src/main/java/org/masticweir/relay/StartupListener.java
@@ -55,14 +55,14 @@
 
     /** Closes the port and returns the connections that were made to it. */
     List<SocketChannel> release() throws IOException {
-        List<SocketChannel> waiting = new ArrayList<>();
+        List<SocketChannel> connections = new ArrayList<>();
         SocketChannel next = channel.accept();
         while (next != null) {
-            waiting.add(next);
+            connections.add(next);
             next = channel.accept();
         }
         channel.close();
-        return waiting;
+        return connections;
     }
 
     @Override
--- a/masticweir/src/test/java/org/masticweir/relay/DrainingAdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/DrainingAdmissionTest.java
@@ -11,7 +11,7 @@
 /** Tests which requests a router admits during its shutdown. */
 class DrainingAdmissionTest {
     private static final long TIMEOUT_MS = 800;
-    private static final OptionalLong SHORT = OptionalLong.of(1);
+    private static final OptionalLong SHORT_STREAM_MS = OptionalLong.of(1);
 
     private final DrainingAdmission admission = new DrainingAdmission();
 
@@ -56,10 +56,11 @@
         void refusesLateStreamsHoweverShort() {
             assertTrue(
                     admission.admitsStream(
-                            SHORT, 9_000 + DrainingAdmission.STREAM_ADMISSION_MS - 1));
+                            SHORT_STREAM_MS, 9_000 + DrainingAdmission.STREAM_ADMISSION_MS - 1));
             assertFalse(
-                    admission.admitsStream(SHORT, 9_000 + DrainingAdmission.STREAM_ADMISSION_MS));
-            assertFalse(admission.admitsStream(SHORT, 16_000));
+                    admission.admitsStream(
+                            SHORT_STREAM_MS, 9_000 + DrainingAdmission.STREAM_ADMISSION_MS));
+            assertFalse(admission.admitsStream(SHORT_STREAM_MS, 16_000));
         }
 
         @Test
@@ -72,7 +73,7 @@
         void refusesAllOnceClosed() {
             admission.close();
             assertFalse(admission.admits(TIMEOUT_MS, 9_001));
-            assertFalse(admission.admitsStream(SHORT, 9_001));
+            assertFalse(admission.admitsStream(SHORT_STREAM_MS, 9_001));
         }
 
         @Test
--- a/masticweir/src/test/java/org/masticweir/relay/EarlyConnectionProxyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/EarlyConnectionProxyTest.java
@@ -153,9 +153,9 @@
     }
 
     private ServerSocket listenAfterRelease() throws IOException {
-        var waiting = listener.release();
+        var connections = listener.release();
         ServerSocket port = router();
-        EarlyConnectionProxy.start(waiting, address);
+        EarlyConnectionProxy.start(connections, address);
         return port;
     }
 
--- a/masticweir/src/test/java/org/masticweir/relay/HedgedPeerRequestTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/HedgedPeerRequestTest.java
@@ -19,7 +19,7 @@
  * delays all requests.
  */
 class HedgedPeerRequestTest {
-    private static final CatalogRequest QUESTION = new CatalogRequest(1, true);
+    private static final CatalogRequest REQUEST = new CatalogRequest(1, true);
     private static final PeerMessage REPLY = CatalogReply.whole("2");
     private static final RouterId FIRST = RouterId.of("first");
     private static final RouterId SECOND = RouterId.of("second");
@@ -27,63 +27,63 @@
 
     private final ManualScheduler scheduler = new ManualScheduler();
     private final FakePeers peers = new FakePeers();
-    private final HedgedPeerRequest asks =
+    private final HedgedPeerRequest hedgedRequest =
             new HedgedPeerRequest(peers, scheduler, scheduler.clock());
     private final List<Optional<PeerMessage>> replies = new ArrayList<>();
 
-    private void ask(RouterId peer) {
-        asks.ask(peer, QUESTION, replies::add);
+    private void request(RouterId peer) {
+        hedgedRequest.request(peer, REQUEST, replies::add);
     }
 
-    private void afterMs(long ms) {
+    private void advanceMs(long ms) {
         scheduler.runTo(scheduler.clock().nowMs() + ms);
     }
 
-    private void reply(int ask) {
-        peers.replies.get(ask).complete(REPLY);
-        afterMs(1);
+    private void reply(int index) {
+        peers.replies.get(index).complete(REPLY);
+        advanceMs(1);
     }
 
     @Test
     void acceptsALateReply() {
-        ask(FIRST);
-        afterMs(4 * HedgedPeerRequest.HEDGE_DELAY_MS);
+        request(FIRST);
+        advanceMs(4 * HedgedPeerRequest.HEDGE_DELAY_MS);
         reply(0);
         assertEquals(List.of(Optional.of(REPLY)), replies);
     }
 
     @Test
     void doesNotAskAPeerAgainBeforeItsReply() {
-        ask(FIRST);
-        afterMs(2 * HedgedPeerRequest.HEDGE_DELAY_MS);
-        ask(FIRST);
+        request(FIRST);
+        advanceMs(2 * HedgedPeerRequest.HEDGE_DELAY_MS);
+        request(FIRST);
         assertEquals(List.of(FIRST), peers.recipients);
         reply(0);
-        ask(FIRST);
+        request(FIRST);
         assertEquals(List.of(FIRST, FIRST), peers.recipients);
     }
 
     @Test
     void asksOneOtherPeerAfterTheHedgeDelay() {
-        ask(FIRST);
-        ask(SECOND);
+        request(FIRST);
+        request(SECOND);
         assertEquals(List.of(FIRST), peers.recipients);
-        afterMs(HedgedPeerRequest.HEDGE_DELAY_MS);
-        ask(SECOND);
-        afterMs(HedgedPeerRequest.HEDGE_DELAY_MS);
-        ask(THIRD);
+        advanceMs(HedgedPeerRequest.HEDGE_DELAY_MS);
+        request(SECOND);
+        advanceMs(HedgedPeerRequest.HEDGE_DELAY_MS);
+        request(THIRD);
         assertEquals(List.of(FIRST, SECOND), peers.recipients);
     }
 
     @Test
     void asksAnotherPeerAtOnceWhenALinkIsLost() {
-        ask(FIRST);
+        request(FIRST);
         peers.replies
                 .get(0)
                 .completeExceptionally(
                         MasticweirException.notRun(ErrorCode.DEADLINE_EXCEEDED, "link lost"));
-        afterMs(1);
-        ask(SECOND);
+        advanceMs(1);
+        request(SECOND);
         assertEquals(List.of(FIRST, SECOND), peers.recipients);
         assertEquals(List.of(Optional.empty()), replies);
     }
