--- a/masticweir/src/main/java/org/masticweir/relay/AnswerMetadata.java
+++ b/masticweir/src/main/java/org/masticweir/relay/AnswerMetadata.java
@@ -8,16 +8,16 @@
 import org.masticweir.permits.AnnouncedLimit;
 
 /**
- * What the head of a server's answer states about the request and the server; immutable.
+ * Metadata from the headers of a server's answer about the request and the server; immutable.
  *
- * @param isNotRun whether the server has not run the request and never will
- * @param isWrongServer whether another server than the intended one has the address
- * @param requestId id of the request that it answers
- * @param isSigned whether it has the server's signature
+ * @param isNotRun whether the server states that it has not run the request and will not run it
+ * @param isWrongServer whether the address belongs to a server other than the intended one
+ * @param requestId id of the answered request
+ * @param isSigned whether the answer has the server's signature
  * @param requestCount requests that are running or queued at the server
  * @param limit request rate that the server accepts
- * @param isLeaving whether the server ends soon and accepts no more requests
- * @param pauseMs how long this router must not send requests to the server
+ * @param isLeaving whether the server will stop soon and accepts no more requests
+ * @param pauseMs time for which this router must not send requests to the server
  */
 public record AnswerMetadata(
         boolean isNotRun,
--- a/masticweir/src/main/java/org/masticweir/relay/AnswerMetadataRecorder.java
+++ b/masticweir/src/main/java/org/masticweir/relay/AnswerMetadataRecorder.java
@@ -17,7 +17,7 @@
 import org.masticweir.time.Clock;
 
 /**
- * Records what servers announce about themselves in the heads of their answers, and logs and counts
+ * Records the states that servers announce in the headers of their answers, and logs and counts
  * each new announcement; owned by the traffic thread.
  */
 final class AnswerMetadataRecorder {
@@ -56,9 +56,7 @@
         recordAnnouncements(server, metadata, request);
     }
 
-    /**
-     * Records the outcome of a call for the state of a server or for the prompts that it caches.
-     */
+    /** Records the outcome of a call that queries a server's state or its cached prompts. */
     void recordCall(ServerIncarnation server, HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answered) {
             HttpAnswer answer = answered.answer();
@@ -70,7 +68,7 @@
         }
     }
 
-    /** Returns whether a server has asked for a pause that has not ended. */
+    /** Returns whether a server has announced a pause that has not ended. */
     boolean isPausing(ServerIncarnation server) {
         return notices.remainingPauseMs(server, clock.nowMs()) > 0;
     }
--- a/masticweir/src/main/java/org/masticweir/relay/AwaitedCatalog.java
+++ b/masticweir/src/main/java/org/masticweir/relay/AwaitedCatalog.java
@@ -9,7 +9,7 @@
     private long firstReportMs;
     private long lastReportMs;
 
-    /** Records that a peer holds {@code newer}. */
+    /** Records that a peer stores the catalog version {@code newer}. */
     void recordReport(long newer, long nowMs) {
         if (newer > version) {
             version = newer;
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Returns the time since a version newer than {@code held} was first reported, in ms; 0 if none
-     * was.
+     * Returns the time since the newest version was first reported, in ms; 0 if that version is not
+     * newer than {@code held}.
      */
     long waitedMs(long held, long nowMs) {
         return version > held ? nowMs - firstReportMs : 0;
--- a/masticweir/src/main/java/org/masticweir/relay/CallerAnswerWriter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CallerAnswerWriter.java
@@ -18,8 +18,8 @@
 /** Writes the answer of one request to its caller; runs on the traffic thread. */
 final class CallerAnswerWriter {
     /**
-     * Limit on the bytes that are queued for a caller that does not read; larger than any answer
-     * that callers request.
+     * Limit on the bytes queued for a caller that does not read; larger than any answer to a
+     * request.
      */
     private static final int MAX_QUEUED_BYTES = 4 << 20;
 
@@ -43,7 +43,7 @@
         this.onWriteFailed = checkNotNull(onWriteFailed, "onWriteFailed");
     }
 
-    /** Returns whether the head of an event stream has been sent. */
+    /** Returns whether the headers of an event stream have been sent. */
     boolean isStreaming() {
         return sink != null;
     }
@@ -59,14 +59,14 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(body));
     }
 
-    /** Sends an error of this router. */
+    /** Sends an error answer of this router. */
     void sendError(ErrorCode code, OptionalLong retryAfterMs, String reason) {
         if (isEnded) {
             return;
         }
         if (isStreaming()) {
-            // The status has already been sent; an answer that ends early must not look
-            // complete.
+            // The status has already been sent. The caller must not take the partial answer for a
+            // complete one.
             abort();
             return;
         }
@@ -82,11 +82,11 @@
     }
 
     /**
-     * Sends the head of an event stream.
+     * Sends the headers of an event stream.
      *
-     * <p>Sets the chunked encoding on HTTP/1.1. Without it, on a connection that closes after the
-     * answer, the library marks the end of the answer by the close alone, and an answer that was
-     * cut off looks complete.
+     * <p>Sets the chunked encoding on HTTP/1.1. Without this encoding, if the connection closes
+     * after the answer, the library marks the end of the answer only by the close, and an
+     * interrupted answer looks complete.
      */
     void startEventStream(HttpHead head) {
         if (isEnded) {
--- a/masticweir/src/main/java/org/masticweir/relay/CallerDisconnectDetector.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CallerDisconnectDetector.java
@@ -18,11 +18,12 @@
  * Detects that a caller has disconnected while its request is in flight; runs on the traffic
  * thread.
  *
- * <p>The server library does not read from a connection while its request is being answered, so it
- * detects a close only at its next write, and a server would go on running the request for nobody.
- * This class reads from the connection meanwhile. It stores bytes of a following request, up to one
- * buffer, and returns them to the library when it stops. If more bytes arrive, it drops them, so
- * that it can still see a close that follows them, and the connection is closed after the answer.
+ * <p>The server library does not read from a connection while its request is being answered. It
+ * detects a close only at its next write, and a server would continue to run a request that has no
+ * caller. This class reads from the connection meanwhile. It stores up to one buffer of bytes of a
+ * following request and returns the bytes to the library when the detection stops. If more bytes
+ * arrive, the class drops them, because it must read past them to detect a close. The connection is
+ * then closed after the answer.
  */
 final class CallerDisconnectDetector {
     private static final Logger LOG = LogManager.getLogger(CallerDisconnectDetector.class);
@@ -34,7 +35,7 @@
     private HttpServerExchange exchange;
     private Runnable onDisconnect = NO_OP;
 
-    /** Bytes of a following request, in a buffer that is ready to be appended to. */
+    /** Bytes of a following request, in a buffer to which more bytes can be appended. */
     private Optional<PooledByteBuffer> nextRequestBytes = Optional.empty();
 
     private boolean hasDroppedBytes;
@@ -44,8 +45,8 @@
     }
 
     /**
-     * Runs {@code onDisconnect} if the caller disconnects; call this once the whole request has
-     * been read.
+     * Runs {@code onDisconnect} if the caller disconnects; call this method after the whole request
+     * has been read.
      */
     static CallerDisconnectDetector start(HttpServerExchange exchange, Runnable onDisconnect) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
@@ -73,7 +74,7 @@
         connection.getOriginalSourceConduit().resumeReads();
     }
 
-    /** Stops the detection; call this before the answer ends. */
+    /** Stops the detection; call this method before the answer ends. */
     void stop() {
         if (onDisconnect != NO_OP) {
             onDisconnect = NO_OP;
@@ -93,11 +94,11 @@
     }
 
     /**
-     * Checks whether the caller has disconnected, and runs the listener before it returns.
+     * Checks whether the caller has disconnected; if so, runs the listener before this method
+     * returns.
      *
-     * <p>Without this, a caller may give up while its request is unread because the thread is busy,
-     * and the request is sent to a server before the close, which follows it on the connection, is
-     * read.
+     * <p>Without this check, a request could be sent to a server although its caller has already
+     * disconnected: while the thread is busy, neither the request nor the close after it is read.
      */
     void checkClosed() {
         if (onDisconnect == NO_OP) {
--- a/masticweir/src/main/java/org/masticweir/relay/CallersPort.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CallersPort.java
@@ -18,24 +18,23 @@
 /**
  * Opens the callers' port once the router has read its deployment; confined to the control thread.
  *
- * <p>A router that has just started would refuse every request that arrives in the tenth of a
- * second in which it reads the configuration, and callers retry only once. Their connections wait
- * in the {@link StartupListener} instead, up to a limit, since a router without a store must answer
- * that it has no configuration. On ten days on which all routers are lost, run before and after,
- * both classes together raised what requests earn from 0.622 to 0.638 of the possible amount.
+ * <p>A router takes a tenth of a second after its start to read the configuration. Without this
+ * class, it would refuse all requests that arrive in this time, and callers retry only once. The
+ * callers' connections wait in the {@link StartupListener} instead. The wait has a limit, because a
+ * router without a store must answer that it has no configuration. In tests of ten days on which
+ * all routers are lost, both classes together raised the earnings of requests from 0.622 to 0.638
+ * of the possible amount.
  */
 final class CallersPort implements AutoCloseable {
     private static final Logger LOG = LogManager.getLogger(CallersPort.class);
 
     /**
-     * Longest wait for the deployment, in ms; callers give up when their request is not read for a
-     * second.
+     * Longest wait for the deployment, in ms; callers disconnect if their request is not read
+     * within a second.
      */
     static final long MAX_STARTUP_WAIT_MS = 500;
 
-    /**
-     * Interval between two checks, in ms; small compared with the time that callers wait anyway.
-     */
+    /** Interval between two checks, in ms; short compared with the wait of the callers. */
     private static final long CHECK_INTERVAL_MS = 5;
 
     private final StartupListener listener;
--- a/masticweir/src/main/java/org/masticweir/relay/ContentDigest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ContentDigest.java
@@ -12,10 +12,10 @@
 /**
  * Computes the content id of a request. Stateless and thread-safe.
  *
- * <p>The content id includes the team, so that no caller can make the work of another team look
- * like its own. The hash is collision-resistant. Request id, deadline and the last event that the
- * caller has differ between submissions of the same work and are left out; so is the port at which
- * a router was called.
+ * <p>The content id includes the team, so that the requests of two teams never have the same
+ * content id. The hash is collision-resistant. The content id excludes the request id, the
+ * deadline, the id of the last event that the caller has received, and the port of the router,
+ * because these differ between submissions of the same request.
  */
 final class ContentDigest {
     private static final int ID_BYTES = 16;
--- a/masticweir/src/main/java/org/masticweir/relay/ContentMonitor.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ContentMonitor.java
@@ -12,10 +12,10 @@
 import org.masticweir.quarantine.SendRule;
 
 /**
- * Observes how the sends of one request end, and reports it to the quarantine as evidence about the
- * request's content; runs on the traffic thread.
+ * Observes the sends of one request, and reports successes, losses and trials of its content to the
+ * quarantine; runs on the traffic thread. A trial is a send of a suspected content.
  *
- * <p>The content id is computed when it is first needed, which for most requests is never.
+ * <p>The content id is computed on first use; most requests never need it.
  */
 final class ContentMonitor {
     private final RelayContext context;
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Records that the complete answer arrived. */
+    /** Records the arrival of the complete answer. */
     void recordAnswer() {
         context.quarantine().recordSuccess(content);
     }
@@ -87,9 +87,9 @@
     }
 
     /**
-     * Records that the server of a send was lost. The loss is not attributed to the content if the
-     * request had run for long, if the server was leaving, or if it had been removed from the
-     * server list before.
+     * Records the loss of the server of a send. The loss is not attributed to the content if the
+     * request had run for longer than a trial, if the server was leaving, or if the server had
+     * already been removed from the server list.
      *
      * @param isConnectionBroken whether the server broke the connection
      */
@@ -106,8 +106,7 @@
     }
 
     /**
-     * Returns whether the server of the send has run the request for less than the duration of a
-     * trial.
+     * Returns whether the server of the send has run the request for less time than a trial takes.
      */
     boolean hasJustBegun(long nowMs) {
         return eventCount == 0 || nowMs - firstEventMs < Quarantine.TRIAL_MS;
--- a/masticweir/src/main/java/org/masticweir/relay/DrainingAdmission.java
+++ b/masticweir/src/main/java/org/masticweir/relay/DrainingAdmission.java
@@ -9,23 +9,23 @@
  * Admission control of a router during its shutdown, with the count of requests in flight;
  * thread-safe.
  *
- * <p>The balancer goes on sending requests for seconds after the shutdown request, and until the
- * process exits if a domain has hardly any other router. A request that is admitted too late is cut
- * off when the process has to exit. It is refused instead, while it has not run and its caller
- * still has time to go to another router.
+ * <p>The balancer continues to send requests for seconds after the shutdown request. If a domain
+ * has hardly any other router, the balancer continues until the process exits. A request that is
+ * admitted too late is interrupted by the exit of the process. The router therefore refuses such a
+ * request before it runs, while its caller still has time to use another router.
  */
 final class DrainingAdmission {
     /**
-     * Time after which the balancer has detected the shutdown, in ms: two of its checks, a second
-     * apart, and one more.
+     * Time after which the balancer has detected the shutdown, in ms: two checks of the balancer, a
+     * second apart, and one more.
      */
     static final long BALANCER_DETECTION_MS = 3_000;
 
     /**
-     * Time after the shutdown request during which streams are admitted, in ms. The length of a
-     * stream has no upper limit, since even one that is expected to end in time may be queued at
-     * its engine. It is shorter than the balancer's time to allow for a shutdown request that
-     * arrives late.
+     * Time after the shutdown request during which streams are admitted, in ms. The duration of a
+     * stream has no upper limit: an engine may queue even a stream that is expected to end in time.
+     * This time is 200 ms shorter than the balancer's detection time, because the shutdown request
+     * may arrive late.
      */
     static final long STREAM_ADMISSION_MS = BALANCER_DETECTION_MS - 200;
 
@@ -77,7 +77,7 @@
         return isDraining;
     }
 
-    /** Returns whether a request that ends within {@code timeoutMs} is admitted. */
+    /** Returns whether a request that lasts at most {@code timeoutMs} is admitted. */
     boolean admits(long timeoutMs, long nowMs) {
         if (isClosed || !isDraining) {
             return !isClosed;
--- a/masticweir/src/main/java/org/masticweir/relay/EarlyConnectionProxy.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EarlyConnectionProxy.java
@@ -16,26 +16,29 @@
 import org.xnio.IoUtils;
 
 /**
- * Forwards bytes in both directions between the router and the connections that callers made before
- * the router listened on its port, until either end closes. It runs on its own thread, which ends
- * with the last connection.
+ * Forwards bytes in both directions between the router and the connections that callers opened
+ * before the router listened on its port, until the caller or the router closes its end. The proxy
+ * has its own thread, which ends with the last connection.
  *
- * <p>The I/O library opens its own sockets and can't adopt existing ones. Only the connections made
- * during one start are forwarded, some dozens; copying their bytes costs less than their callers
- * would lose.
+ * <p>The I/O library opens its own sockets and can't adopt existing ones. The proxy forwards only
+ * the connections of one router start, some dozens. Copying their bytes costs less than the loss of
+ * their requests.
  */
 final class EarlyConnectionProxy implements AutoCloseable {
     private static final Logger LOG = LogManager.getLogger(EarlyConnectionProxy.class);
 
-    /** Buffer size for one direction of one connection; an event has less than a tenth of it. */
+    /**
+     * Buffer size for one direction of one connection; an event takes less than a tenth of this
+     * size.
+     */
     private static final int BUFFER_BYTES = 8 << 10;
 
     private final Selector selector;
     private final InetSocketAddress routerAddress;
 
     /**
-     * Number of pairs that are not closed; confined to the thread. The selector's key set can't be
-     * used for this: a closed key stays in it until the next selection, which may wait forever.
+     * Number of open pairs; confined to the proxy's thread. The selector's key set can't provide
+     * this number: closed keys stay in the set until the next selection, which may wait forever.
      */
     private int openPairCount;
 
@@ -44,7 +47,10 @@
         this.routerAddress = routerAddress;
     }
 
-    /** Starts to forward between {@code callers} and the router that listens at {@code router}. */
+    /**
+     * Starts to forward between {@code callers} and the router that listens at {@code
+     * routerAddress}.
+     */
     static EarlyConnectionProxy start(
             List<SocketChannel> callers, InetSocketAddress routerAddress) {
         checkNotNull(routerAddress, "routerAddress");
@@ -110,10 +116,11 @@
         }
 
         /**
-         * Reads what the caller has sent; returns whether the caller has closed its connection.
+         * Reads the bytes that the caller has sent; returns whether the caller has closed its
+         * connection.
          *
-         * <p>Without this check, the request of a caller that has given up because nobody read it
-         * would still run.
+         * <p>Without this check, the request of a caller that has already disconnected would still
+         * run.
          */
         boolean readCaller() throws IOException {
             while (toRouter.hasRemaining()) {
@@ -136,9 +143,9 @@
         /**
          * Forwards the bytes that can be read and written now, and sets the operations to wait for.
          *
-         * <p>The last bytes of a caller are forwarded only after a read has found nothing after
-         * them. If a close is read together with them, the pair is closed, and the router does not
-         * receive a complete request.
+         * <p>The last bytes of a caller are forwarded only after a further read. If that read
+         * detects a close, the pair is closed and these bytes are dropped, so that the router does
+         * not receive a complete request.
          */
         void forwardBytes() {
             try {
@@ -168,8 +175,8 @@
         }
 
         /**
-         * Reads a channel while its buffer has space, and writes to it while the other buffer has
-         * bytes.
+         * Returns the operations of a channel: read if {@code readBuffer} has space, write if
+         * {@code writeBuffer} has bytes.
          */
         private int interestOps(ByteBuffer readBuffer, ByteBuffer writeBuffer) {
             int reads = readBuffer.hasRemaining() ? SelectionKey.OP_READ : 0;
--- a/masticweir/src/main/java/org/masticweir/relay/EngineStatusProbe.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EngineStatusProbe.java
@@ -11,9 +11,10 @@
 /**
  * Probes an engine that has not started a request in time; runs on the traffic thread.
  *
- * <p>An engine is silent during the prefill of a prompt, so its silence alone does not show whether
- * it failed or dropped the request. Waiting for the longest possible prefill would miss the time
- * goal of the request. An engine that is alive answers this call at once.
+ * <p>An engine sends no events during the prefill of a prompt. The absence of events therefore does
+ * not show whether the engine failed or dropped the request. A wait for the longest possible
+ * prefill would miss the time goal of the request. An engine that is alive answers the probe at
+ * once.
  */
 final class EngineStatusProbe {
     private static final Logger LOG = LogManager.getLogger(EngineStatusProbe.class);
@@ -24,8 +25,8 @@
     private EngineStatusProbe() {}
 
     /**
-     * Calls {@code callback} once with the report of {@code engine}, or with nothing if the engine
-     * is gone or does not respond.
+     * Calls {@code callback} once with the report of {@code engine}, or with an empty value if the
+     * engine has stopped or does not respond.
      */
     static void probe(
             RelayContext context, BackendServer engine, Consumer<Optional<EngineReport>> callback) {
--- a/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
@@ -10,8 +10,8 @@
 import org.masticweir.http.HttpHead;
 
 /**
- * Forwards the events of one stream to its caller, each exactly once, whichever server sends them;
- * runs on the traffic thread.
+ * Forwards each event of one stream to the caller exactly once, even if several servers send the
+ * event; runs on the traffic thread.
  */
 final class EventRelay {
     private final RelayContext context;
@@ -40,15 +40,12 @@
         this.log = checkNotNull(log, "log");
     }
 
-    /**
-     * Records that the server of the events so far was lost; the next event comes from another
-     * server.
-     */
+    /** Records the loss of the current server; the next event comes from another send. */
     void handleServerLoss() {
         isResuming = writer.isStreaming();
     }
 
-    /** Forwards an event of {@code server}, unless the caller already has it. */
+    /** Forwards an event of {@code server}, unless the caller has already received the event. */
     void forward(
             BackendServer server, HttpHead head, ByteBuffer bytes, OptionalLong id, long nowMs) {
         if (hasCallerReceived(id)) {
@@ -68,9 +65,7 @@
         writer.sendEvent(bytes);
     }
 
-    /**
-     * Handles the end of the events of a server; the caller of this method then ends the answer.
-     */
+    /** Handles the end of a server's events; the caller of this method must then end the answer. */
     void handleEnd(HttpHead head, long nowMs) {
         if (writer.isStreaming()) {
             context.durations()
@@ -79,7 +74,7 @@
                             firstEventMs - params.receivedMs(),
                             nowMs - firstEventMs);
         } else {
-            // If the caller already has all events, the answer has a head and an end only.
+            // If the caller already has all events, the answer consists of headers only.
             startEventStream(head);
         }
     }
--- a/masticweir/src/main/java/org/masticweir/relay/EventSplitter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EventSplitter.java
@@ -9,12 +9,12 @@
 /**
  * Splits a stream of server-sent events into single events and parses their ids; not thread-safe.
  *
- * <p>A server may fail in the middle of an event, and another server continues after the last
- * complete event. Only complete events are passed on, byte for byte, so that callers never receive
- * a part of an event.
+ * <p>A server may fail in the middle of an event; another server then continues after the last
+ * complete event. The splitter passes on only complete events, byte for byte, so that callers never
+ * receive a partial event.
  */
 final class EventSplitter {
-    /** Longest event that is buffered, so that a faulty server can't exhaust the memory. */
+    /** Maximum size of a buffered event; prevents a faulty server from exhausting the memory. */
     static final int MAX_EVENT_BYTES = 1 << 20;
 
     private static final int INITIAL_BUFFER_BYTES = 512;
@@ -31,13 +31,13 @@
         /**
          * Handles one event.
          *
-         * @param bytes the event with the empty line at its end
-         * @param id its id, if it has one that is a number
+         * @param bytes the bytes of the event, including the empty line at its end
+         * @param id the numeric id of the event; empty if the event has no numeric id
          */
         void onEvent(ByteBuffer bytes, OptionalLong id) throws IOException;
     }
 
-    /** Consumes all of {@code in} and passes the events that end in it to {@code sink}. */
+    /** Consumes all bytes of {@code in} and passes each completed event to {@code sink}. */
     void feed(ByteBuffer in, Sink sink) throws IOException {
         while (in.hasRemaining()) {
             byte b = in.get();
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Returns whether no incomplete event is buffered. */
+    /** Returns whether the buffer is empty, that is, the last event is complete. */
     boolean isAtEventEnd() {
         return eventLength == 0;
     }
@@ -93,8 +93,7 @@
         try {
             eventId = OptionalLong.of(Long.parseLong(text));
         } catch (NumberFormatException e) {
-            // A stream can't be resumed after an id that is not a number; the event is passed on
-            // unchanged.
+            // A stream can't be resumed after a non-numeric id; the event is passed on unchanged.
             eventId = OptionalLong.empty();
         }
     }
--- a/masticweir/src/main/java/org/masticweir/relay/ExchangeCompletion.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ExchangeCompletion.java
@@ -10,8 +10,8 @@
  * Notifies a listener when an exchange is complete: the last byte of its answer has been written,
  * or its connection has been closed; runs on the traffic thread.
  *
- * <p>Without this, an answer counts as delivered while a part of it is still queued for a slow
- * caller, and the process exits before that part is sent.
+ * <p>Without this notification, an answer would count as delivered while its last part is still
+ * queued for a slow caller, and the process could exit before that part is sent.
  */
 final class ExchangeCompletion {
     private static final AttachmentKey<ExchangeCompletion> KEY =
@@ -23,8 +23,8 @@
     private ExchangeCompletion() {}
 
     /**
-     * Runs {@code listener} once when {@code exchange} is complete, and keeps {@code connections}
-     * up to date.
+     * Runs {@code listener} once when {@code exchange} is complete, and records the state of its
+     * connection in {@code connections}.
      */
     static void addListener(
             HttpServerExchange exchange, KeepAliveConnections connections, Runnable listener) {
@@ -44,7 +44,10 @@
                 });
     }
 
-    /** One instance for all exchanges of a connection, as close listeners can't be removed. */
+    /**
+     * Returns the instance for all exchanges of a connection; they share an instance because close
+     * listeners can't be removed.
+     */
     private static ExchangeCompletion of(
             ServerConnection connection, KeepAliveConnections connections) {
         ExchangeCompletion existing = connection.getAttachment(KEY);
--- a/masticweir/src/main/java/org/masticweir/relay/HedgedPeerRequest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/HedgedPeerRequest.java
@@ -14,24 +14,21 @@
 import org.masticweir.time.Clock;
 
 /**
- * Sends hedged requests to peers for a reply that any of them can give; owned by the control
- * thread.
+ * Sends hedged requests to peers, each of which can send the reply; owned by the control thread.
  *
- * <p>A reply may be long and its link slow. If a late reply were dropped and requested again, its
- * sender would be busy with replies that nobody uses, and none would arrive in time. So a reply
- * counts whenever it arrives, a peer is not asked again before it has replied, and a second peer is
- * asked after a delay.
+ * <p>A reply may be long and the link slow. If late replies were dropped and requested again, peers
+ * would be busy with unused replies, and no reply would arrive in time. Late replies are therefore
+ * accepted, a peer receives no second request before it has replied, and a second peer receives a
+ * request after a delay.
  */
 final class HedgedPeerRequest {
-    /** Time without a reply after which a second peer is asked, in ms. */
+    /** Time without a reply after which a request is sent to a second peer, in ms. */
     static final long HEDGE_DELAY_MS = 800;
 
-    /** Time after which a peer that has not replied may be asked again, in ms. */
+    /** Time without a reply after which a request may be sent to the same peer again, in ms. */
     static final long TIMEOUT_MS = 5_000;
 
-    /**
-     * Limit on concurrently asked peers: a third one would slow down the replies of the other two.
-     */
+    /** Limit on peers with a pending request: a third reply would slow down the other two. */
     private static final int MAX_PENDING_PEERS = 2;
 
     private final PeerSender peerSender;
@@ -47,9 +44,10 @@
     }
 
     /**
-     * Asks {@code peer}, unless it has not replied yet or another peer was asked a moment ago.
+     * Sends {@code message} to {@code peer}. Does nothing if the peer has a pending request, or if
+     * the hedge delay since the request to another peer has not passed.
      *
-     * @param callback receives the reply, or nothing if none will arrive
+     * @param callback receives the reply, or an empty value if no reply will arrive
      */
     void request(RouterId peer, PeerMessage message, Consumer<Optional<PeerMessage>> callback) {
         long now = clock.nowMs();
--- a/masticweir/src/main/java/org/masticweir/relay/InFlightRequests.java
+++ b/masticweir/src/main/java/org/masticweir/relay/InFlightRequests.java
@@ -10,8 +10,8 @@
 import org.masticweir.quarantine.SharedQuarantine;
 
 /**
- * The requests of a router that are in flight, and the effect of quarantine changes on them; owned
- * by the traffic thread.
+ * Set of a router's requests in flight; applies quarantine changes to them; owned by the traffic
+ * thread.
  */
 final class InFlightRequests {
     private final SharedQuarantine quarantine;
@@ -22,15 +22,15 @@
     interface Request {
         ContentId content();
 
-        /** Returns whether its server has run it for longer than the duration of a trial. */
+        /** Returns whether the server has run the request for longer than a trial takes. */
         boolean runsLongerThanTrial();
 
         /** Notifies the request that its content was quarantined. */
         void onQuarantined();
 
         /**
-         * Notifies the request that the router's process exits; it must be answered now, whatever
-         * its state.
+         * Notifies the request that the router's process exits; the request must be answered now in
+         * any state.
          */
         void onRouterExit();
     }
@@ -50,16 +50,17 @@
         requests.remove(request);
     }
 
-    /** Ends all requests in flight, and each later one when it is added; each gets an answer. */
+    /** Ends all requests in flight with an answer; requests that are added later end at once. */
     void endAll() {
         isEnded = true;
         ImmutableList.copyOf(requests).forEach(Request::onRouterExit);
     }
 
     /**
-     * Applies a change of the quarantine to the requests with {@code content}. A copy of a suspect
-     * content that runs on shows that the content is harmless. Copies of a quarantined content that
-     * have just started would end their servers too, so they are cancelled.
+     * Applies a change of the quarantine to the requests with {@code content}. If one of these
+     * requests has run for longer than a trial, the content is harmless, and a success is recorded.
+     * Otherwise, if the content is quarantined, requests that have just started are cancelled,
+     * because they would end their servers too.
      */
     void onQuarantineChange(ContentId content, Change change) {
         ImmutableList<Request> copies =
--- a/masticweir/src/main/java/org/masticweir/relay/KeepAliveConnections.java
+++ b/masticweir/src/main/java/org/masticweir/relay/KeepAliveConnections.java
@@ -11,9 +11,9 @@
 /**
  * Callers' keep-alive connections; owned by the traffic thread.
  *
- * <p>When a router shuts down, the balancer sends it no new connections, but callers go on using
- * their existing ones. A request that is refused on such a connection costs its caller a retry; a
- * caller that finds its connection closed goes to another router instead.
+ * <p>When a router shuts down, the balancer assigns no new connections to the router, but callers
+ * continue to use their existing connections. A request that is refused on such a connection costs
+ * the caller a retry. A caller whose idle connection is closed connects to another router instead.
  */
 final class KeepAliveConnections {
     private static final Logger LOG = LogManager.getLogger(KeepAliveConnections.class);
@@ -26,14 +26,17 @@
         idleConnections.remove(connection);
     }
 
-    /** Records that an exchange of {@code connection} is complete and the connection is open. */
+    /**
+     * Records that an exchange of {@code connection} is complete and that the connection is still
+     * open.
+     */
     void exchangeCompleted(ServerConnection connection) {
         idleConnections.add(connection);
     }
 
     /**
-     * Notifies this that the server library has finished an exchange, so that its connection may be
-     * closed now.
+     * Handles the end of an exchange in the server library; the connection may be closed from now
+     * on.
      */
     void exchangeReleased() {
         if (isClosing) {
@@ -45,7 +48,7 @@
         idleConnections.remove(connection);
     }
 
-    /** Closes all idle connections now, and each other connection after its exchange. */
+    /** Closes all idle connections now, and every other connection after its current exchange. */
     void closeAll() {
         LOG.info("router: {} idle connections of callers are closed", idleConnections.size());
         isClosing = true;
--- a/masticweir/src/main/java/org/masticweir/relay/LossInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LossInquiry.java
@@ -22,13 +22,16 @@
  * Decides whether the loss of a server is attributed to the content that it ran; owned by the
  * traffic thread.
  *
- * <p>The loss is attributed only if the server is shown to have ended: it refuses connections right
- * after it broke one, another incarnation has its address, or its entry lapses.
+ * <p>The loss is attributed to the content only if the server has certainly ended. There are three
+ * such cases: the server broke the connection and then refuses new connections, another incarnation
+ * has its address, or its entry lapses.
  */
 final class LossInquiry {
     private static final Logger LOG = LogManager.getLogger(LossInquiry.class);
 
-    /** How long the entry of a silent server is watched, in ms: more than three heartbeats. */
+    /**
+     * Time for which the entry of a silent server is watched, in ms: more than three heartbeats.
+     */
     private static final long WATCH_MS = 10_000;
 
     /** Limit on the number of silent servers whose entries are watched. */
@@ -39,7 +42,10 @@
     private final Clock clock;
     private final Map<ServerIncarnation, SilentServer> silentServers = new HashMap<>();
 
-    /** A server that became silent, and one loss for each content that it had started to run. */
+    /**
+     * A server that became silent, with one loss for each content that the server had started to
+     * run.
+     */
     private static final class SilentServer {
         private final Map<ContentId, Loss> losses = new HashMap<>();
         private long watchedUntilMs;
@@ -52,11 +58,11 @@
     }
 
     /**
-     * Handles the loss of {@code server}, which had just started to run a request that was sent at
-     * {@code sentMs}.
+     * Handles the loss of {@code server} soon after it started to run a request. The request was
+     * sent at {@code sentMs}.
      *
-     * @param isConnectionBroken whether it broke the connection, so that it was reachable a moment
-     *     ago
+     * @param isConnectionBroken whether the server broke the connection, which shows that it was
+     *     reachable a moment ago
      */
     void handleLoss(
             ContentId content,
@@ -66,8 +72,8 @@
             Optional<Catalog> catalog) {
         Loss loss = new Loss(server.incarnation(), sentMs, clock.nowMs());
         if (isConnectionBroken) {
-            // The probe ends within milliseconds here; the probe of a silent server would delay
-            // the request.
+            // The request waits for the inquiry. After a broken connection the probe takes
+            // milliseconds; the probe of a silent server would delay the request for longer.
             quarantine.beginInquiry(content);
         }
         probe.probe(
@@ -109,7 +115,7 @@
         }
     }
 
-    /** Updates the list of servers; silent servers that are missing from it have ended. */
+    /** Handles a new list of servers; silent servers that the list does not contain have ended. */
     void updateListed(Set<ServerIncarnation> listedServers) {
         long now = clock.nowMs();
         Iterator<Map.Entry<ServerIncarnation, SilentServer>> iterator =
--- a/masticweir/src/main/java/org/masticweir/relay/PromptCacheClient.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptCacheClient.java
@@ -16,21 +16,25 @@
 import org.masticweir.time.Clock;
 
 /**
- * Asks engines which prompts they have in their cache; owned by the traffic thread.
+ * Queries engines for the prompts in their caches; owned by the traffic thread.
  *
- * <p>A router that has just started receives a dozen streams at once, and asks two dozen engines
- * for each. One answer of an engine is therefore shared by all queries within a short time.
+ * <p>A router that has just started receives a dozen streams at once, and queries two dozen engines
+ * for each stream. All queries to an engine within a short time therefore share one answer.
  */
 final class PromptCacheClient {
     private static final Logger LOG = LogManager.getLogger(PromptCacheClient.class);
 
     /**
-     * Timeout of a query, in ms, long enough for a router whose code is not compiled yet: a third
-     * of the prefill of a long prompt. A caller that came back has already had a longer pause.
+     * Timeout of a query, in ms, long enough for a router whose code is not compiled yet. It is a
+     * third of the prefill time of a long prompt. A caller that has reconnected has already waited
+     * for longer.
      */
     static final long TIMEOUT_MS = 300;
 
-    /** How long an answer is reused for other queries, in ms; engines cache prompts for seconds. */
+    /**
+     * Time for which an answer is reused for other queries, in ms; engines cache prompts for
+     * seconds.
+     */
     private static final long REUSE_MS = 300;
 
     private final HttpCaller httpCaller;
@@ -54,7 +58,8 @@
     }
 
     /**
-     * Returns the prompts that {@code engine} caches; an empty set if it does not answer in time.
+     * Returns the prompts in the cache of {@code engine}; an empty set if the engine does not
+     * answer in time.
      */
     CompletableFuture<ImmutableSet<PromptId>> cachedPrompts(BackendServer engine) {
         long now = clock.nowMs();
--- a/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
@@ -10,8 +10,8 @@
 import org.masticweir.id.PromptId;
 
 /**
- * Asks engines in parallel whether they cache a prompt, and returns the first that does; runs on
- * the traffic thread.
+ * Queries the prompt caches of several engines in parallel, and returns the first engine that has a
+ * prompt in its cache; runs on the traffic thread.
  */
 final class PromptSearch {
     private final PromptId prompt;
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Calls {@code callback} once with the first of {@code engines} that is found to cache {@code
-     * prompt}, or with nothing if none does.
+     * Calls {@code callback} once with the first of {@code engines} that reports {@code prompt} as
+     * cached, or with an empty value if no engine does.
      */
     static void start(
             ImmutableList<BackendServer> engines,
--- a/masticweir/src/main/java/org/masticweir/relay/RelayContext.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayContext.java
@@ -19,9 +19,9 @@
 /**
  * Dependencies that all requests of a router share; owned by the traffic thread.
  *
- * @param sharedRetries requests permits for retries that {@code retries} does not allow by itself
- * @param limits rate limits that servers announce, and permits under them
- * @param metadataRecorder records what servers announce in their answers
+ * @param sharedRetries permits for retries that exceed this router's own retry budget
+ * @param limits rate limits that servers announce, and permits for requests within these limits
+ * @param metadataRecorder recorder of the announcements in servers' answers
  * @param connectTimeoutMs timeout for a connection to a server
  * @param onLoadsChanged runs after this router's load on servers has changed
  */
--- a/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
@@ -55,7 +55,7 @@
         }
     }
 
-    /** A request whose head was accepted, and what was found for it in the catalog. */
+    /** A request whose headers were accepted, with its entries of the catalog. */
     private record AdmittedRequest(
             HttpHeaders headers,
             RequestMetadata caller,
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Ends the connection with the answer if the router drains by then. Checked when the answer
-     * begins, as the shutdown may start after the request did.
+     * Marks the connection to be closed after the answer if the router is draining. This check runs
+     * at the start of the answer, because the shutdown may start after the request.
      */
     private void closeConnectionIfDraining(HttpServerExchange exchange) {
         if (admission.isDraining()) {
@@ -117,14 +117,13 @@
     }
 
     /**
-     * Refuses a request that may not end before this router exits.
+     * Refuses a request that might not end before this router exits.
      *
-     * <p>A head that arrives early does not show when its body will be complete. A request whose
-     * body is complete only late would be cut off at its server, so this is checked again after the
-     * body.
+     * <p>Called after the headers and again after the body, because a body may be complete long
+     * after its headers. Without the second check, a request with a late body would be interrupted
+     * at its server.
      *
-     * @param isBodyRead whether the body has been read, too; this is called before and after
-     *     reading it
+     * @param isBodyRead whether the body has been read
      */
     private void checkAdmission(
             Route route, RequestMetadata caller, long receivedMs, boolean isBodyRead)
@@ -160,8 +159,8 @@
     /**
      * Refuses a request whose length is ambiguous.
      *
-     * <p>Prevents request smuggling: if the router used one length and a server the other, the rest
-     * of the body would run at the server as a request that no caller sent.
+     * <p>Prevents request smuggling: if the router used the first length and a server used the
+     * second, the server would run the rest of the body as a request that no caller sent.
      */
     private static void checkFraming(HttpServerExchange exchange) throws Refusal {
         int lengthCount = count(exchange, Headers.CONTENT_LENGTH_STRING);
@@ -198,11 +197,11 @@
     }
 
     /**
-     * Returns the refusal for something that this router's catalog lacks: a definite error if the
-     * catalog is up to date, and a retryable one otherwise.
+     * Returns the refusal of a request whose route or key is not in this router's catalog: a
+     * definite error if the catalog is up to date, and a retryable error otherwise.
      *
-     * <p>A router that has received no updates for a while may lack what a newer catalog has.
-     * Callers don't retry after a definite error, but they do after the other one.
+     * <p>The route or key may be in a newer catalog that this router has not received yet. Callers
+     * retry only after the retryable error.
      */
     private static Refusal notFound(RelayView view, ErrorCode code, String reason) {
         return view.isCatalogFresh()
--- a/masticweir/src/main/java/org/masticweir/relay/RelayMetrics.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayMetrics.java
@@ -17,14 +17,14 @@
 /**
  * Counts the outcomes of requests by class, team, server, failure domain and cause; thread-safe.
  *
- * <p>A class is a route of the catalog. The number of classes, teams and servers with series of
- * their own is limited, as they come and go while the process runs.
+ * <p>A class is a route of the catalog. The number of classes, teams and servers with their own
+ * time series is limited, because they are added and removed while the process runs.
  */
 final class RelayMetrics {
     private static final long WINDOW_MS = 60_000;
 
     /**
-     * Limit on the classes, on the teams and on the servers that have series of their own; a series
+     * Limit on the number of classes, of teams and of servers with their own time series; a series
      * takes some hundred bytes.
      */
     private static final int MAX_LABELS = 64;
@@ -53,7 +53,7 @@
         BROKE_OFF,
         SILENT,
         NOT_REACHED,
-        /** This router cancelled it, as its content was quarantined. */
+        /** This router cancelled the send because its content was quarantined. */
         STOPPED
     }
 
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Counts a send to {@code server}; {@code sends} is the number of sends of the request so far,
-     * this one included.
+     * Counts a send to {@code server}; {@code sendCount} is the number of sends of the request,
+     * including this send.
      */
     void countSend(BackendServer server, int sendCount) {
         String again = sendCount > 1 ? "yes" : "no";
@@ -85,14 +85,14 @@
     }
 
     /**
-     * Records that a stream resumed at {@code server} after a loss, {@code ms} after its last
-     * event.
+     * Records that a stream resumed at {@code server} after the loss of another send; {@code ms} is
+     * the time since the last event.
      */
     void recordResume(BackendServer server, long ms) {
         histogram("resume_ms", "domain", server.domain().value()).update(ms);
     }
 
-    /** Metrics of one request under its class and team. */
+    /** Metrics of one request, labelled with its class and team. */
     final class RequestMetrics {
         private final String route;
         private final String team;
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
@@ -11,10 +11,10 @@
 import org.masticweir.id.TeamId;
 
 /**
- * A caller's request as it was received; immutable.
+ * A caller's request as received by the router; immutable.
  *
  * @param path path and query as received
- * @param body not copied, as it may be long and is only read
+ * @param body body of the request; not copied, because it may be long and is never modified
  */
 record RelayRequest(
         RequestParameters params,
@@ -47,7 +47,7 @@
         return new RelayRequest(params, caller, team, method, path, headers, body);
     }
 
-    /** Returns the caller's id of the attempt. */
+    /** Returns the id that the caller has assigned to this attempt. */
     String id() {
         return caller.requestId();
     }
--- a/masticweir/src/main/java/org/masticweir/relay/RequestLifecycle.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLifecycle.java
@@ -162,8 +162,8 @@
     }
 
     /**
-     * Returns the call for a server that has accepted the connection, with the time that remains
-     * now. If the reasons for the send no longer hold, takes the next step and returns nothing.
+     * Returns the call for a server that has accepted the connection, with the remaining time. If
+     * the send is no longer allowed, executes the next step and returns an empty value.
      */
     private Optional<HttpCall> callTo(Step.Send next, int number) {
         detector.checkClosed();
@@ -182,7 +182,7 @@
         return Optional.of(request.toCall(next, context.protocol(), now));
     }
 
-    /** Reports a send that has not left this process as not run, whatever ends it. */
+    /** Reports a send that has not left this process as not run. */
     private void abortUnwrittenSend() {
         if (silence != null && !isSendWritten) {
             isSendWritten = true;
@@ -262,7 +262,7 @@
         }
     }
 
-    /** Records the end of a send that may have run and has no complete answer. */
+    /** Records the end of a send that might have run and has no complete answer. */
     private void logLost(BackendServer server, SendEnd end, String what, long sentMs) {
         log.logLoss(server, what, sentMs, monitor.eventCount(), monitor.content());
         context.metrics().countSendEnd(server, end);
@@ -355,7 +355,7 @@
         return context.clock().nowMs();
     }
 
-    /** Handles the events of one send; ignores those of an earlier send. */
+    /** Handles the events of one send; ignores them once a later send has started. */
     private final class Listener implements SendListener {
         private final Step.Send step;
         private final int number;
--- a/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
@@ -50,7 +50,7 @@
                 context.view().get().catalog().map(Catalog::version).orElse(0L));
     }
 
-    /** Logs which engine has the request's prompt in its cache. */
+    /** Logs the result of a prompt cache query. */
     void logPromptSearch(int engineCount, Optional<BackendServer> engine) {
         LOG.info(
                 "relay: request {}: its prompt is kept by {}, {} engines asked",
@@ -59,7 +59,7 @@
                 engineCount);
     }
 
-    /** Logs an event at the server of the send that was sent at {@code sentMs}. */
+    /** Logs an event of the send to {@code server} that started at {@code sentMs}. */
     void logServerEvent(BackendServer server, String what, long sentMs) {
         LOG.info(
                 "relay: request {}: {} in {} {} after {} ms",
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Logs that the send of {@code sentMs} ended without a complete answer, after {@code events}
-     * events.
+     * Logs that the send that started at {@code sentMs} ended without a complete answer, after
+     * {@code eventCount} events.
      */
     void logLoss(
             BackendServer server, String what, long sentMs, int eventCount, ContentId content) {
@@ -104,7 +104,8 @@
     }
 
     /**
-     * Logs the report of an engine that has not started the request in time, or that there is none.
+     * Logs the report of an engine that has not started the request in time; an empty value means
+     * that the engine sent no report.
      */
     void logReport(BackendServer server, Optional<EngineReport> report, long sentMs) {
         logServerEvent(
@@ -147,7 +148,7 @@
                 end.reason());
     }
 
-    /** Logs that the caller disconnected; {@code stage} states how far the request had come. */
+    /** Logs that the caller disconnected; {@code stage} describes the progress of the request. */
     void logCallerDisconnect(String stage) {
         LOG.info("relay: request {} was left by its caller after {} ms, {}", id, ageMs(), stage);
     }
--- a/masticweir/src/main/java/org/masticweir/relay/RequestMetadata.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestMetadata.java
@@ -8,14 +8,15 @@
 import org.masticweir.id.PromptId;
 
 /**
- * What a caller's request states besides method, path and body; immutable.
+ * Metadata from the headers of a caller's request; immutable.
  *
- * @param requestId the caller's id of this attempt
- * @param timeoutMs how long the caller waits
- * @param teamKey the team's key
+ * @param requestId id that the caller has assigned to this attempt
+ * @param timeoutMs time for which the caller waits for the answer; empty if the request does not
+ *     state it
+ * @param teamKey key that identifies the caller's team
  * @param size estimated cost of the request for an engine
- * @param prompt the part of its prompt that no other caller's request shares
- * @param lastEventId last event that the caller already has
+ * @param prompt id of the part of the prompt that no other caller's request shares
+ * @param lastEventId id of the last event that the caller has received
  */
 public record RequestMetadata(
         String requestId,
--- a/masticweir/src/main/java/org/masticweir/relay/RequestTimer.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestTimer.java
@@ -19,7 +19,7 @@
         this.thread = checkNotNull(thread, "thread");
     }
 
-    /** Runs {@code task} after {@code ms}, unless the timer is set again or closed before. */
+    /** Runs {@code task} after {@code ms}, unless the timer is set again or closed earlier. */
     void set(long ms, Runnable task) {
         close();
         int taskGeneration = generation;
@@ -35,7 +35,7 @@
                                 TimeUnit.MILLISECONDS));
     }
 
-    /** Cancels the timer; it may be set again. */
+    /** Cancels the task; the timer may be set again. */
     @Override
     public void close() {
         generation++;
--- a/masticweir/src/main/java/org/masticweir/relay/SendListener.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SendListener.java
@@ -4,9 +4,9 @@
 import java.util.OptionalLong;
 import org.masticweir.http.HttpHead;
 
-/** Receives the events of one send to a server; the last call is one of the end events. */
+/** Receives the events of one send to a server; an event marked "End" is the last one. */
 interface SendListener {
-    /** The head of an answer to this request arrived from the intended server. */
+    /** The headers of the answer arrived from the intended server. */
     void onHead(AnswerMetadata metadata);
 
     /** A complete event of a stream arrived. */
@@ -21,7 +21,7 @@
     /** End: the server reports that it did not run the request. */
     void onRefusal(HttpHead head, AnswerMetadata metadata);
 
-    /** End: the request has not left this process. */
+    /** End: the request was not sent. */
     void onNotSent();
 
     /** End: the request was sent, and no usable answer will arrive. */
--- a/masticweir/src/main/java/org/masticweir/relay/SendMetadata.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SendMetadata.java
@@ -7,10 +7,10 @@
 import org.masticweir.id.TeamId;
 
 /**
- * What the router states about a request to the server that receives it; immutable.
+ * Metadata that the router adds to the headers of a send; immutable.
  *
- * @param requestId the caller's id of this attempt
- * @param remainingMs time that remains for the answer
+ * @param requestId id that the caller has assigned to this attempt
+ * @param remainingMs time that remains for the answer, in ms
  */
 public record SendMetadata(
         String requestId, Step.Send send, Optional<TeamId> team, long remainingMs) {
--- a/masticweir/src/main/java/org/masticweir/relay/ServerProbe.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerProbe.java
@@ -21,17 +21,17 @@
 /**
  * Determines whether a server ended or only a connection to it broke; owned by the traffic thread.
  *
- * <p>A reset, a corrupt answer or a lost packet breaks a connection in the same way as the end of
- * its server. A server that is alive answers the probe at once. Concurrent queries about the same
- * incarnation share one probe.
+ * <p>A broken connection does not show that the server ended: a reset, a corrupt answer or a lost
+ * packet breaks it too. A server that is alive answers the probe at once. Concurrent probes of the
+ * same incarnation share their calls.
  */
 final class ServerProbe {
     /** Timeout of a probe, in ms: one round trip and the response time of a busy server. */
     private static final long TIMEOUT_MS = 300;
 
     /**
-     * Limit on the calls of one probe: the first may use a pooled connection that broke together
-     * with the others.
+     * Limit on the calls of one probe: the first call may use a pooled connection that is broken,
+     * too.
      */
     private static final int MAX_CALLS = 2;
 
--- a/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
@@ -19,13 +19,12 @@
  * One send of a request to a server; checks the answer before it is passed on. Runs on the traffic
  * thread.
  *
- * <p>Each send has its own connection: a late or duplicate answer then can't be taken for the
- * answer to another request, and a connection that its server has just closed is never used. New
- * connections cost 2 in 1,000 of what requests earn, measured on a calm day.
+ * <p>Each send has its own connection. A late or duplicate answer therefore can't be taken for the
+ * answer to another request, and no send uses a connection that its server has just closed. New
+ * connections cost 2 in 1,000 of the earnings of requests on a day without failures.
  *
- * <p>If an answer to another request arrives first on the connection, an answer has no signature,
- * or a body is longer than expected, the answer is discarded: the send is lost and its connection
- * is closed.
+ * <p>An answer is discarded if it belongs to another request, has no signature, or has a body that
+ * is longer than expected. The send is then lost and its connection is closed.
  */
 final class ServerSend implements AutoCloseable {
     /** Limit on the size of a complete answer. */
@@ -54,11 +53,11 @@
     }
 
     /**
-     * Connects to {@code address} and sends the call that {@code call} then returns.
+     * Connects to {@code address} and sends the call that {@code callSupplier} returns.
      *
-     * @param callSupplier evaluated once the connection is established; empty if there is no longer
-     *     anything to send
-     * @param requestId id that the answer must have
+     * @param callSupplier evaluated once the connection is established; returns an empty value if
+     *     the request must no longer be sent
+     * @param requestId request id that the answer must have
      * @param isStreaming whether a successful answer is an event stream
      */
     static ServerSend open(
--- a/masticweir/src/main/java/org/masticweir/relay/SharedRetryPermits.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SharedRetryPermits.java
@@ -10,7 +10,10 @@
 import org.masticweir.permits.SharedPermits;
 import org.masticweir.time.Clock;
 
-/** Permits for retries beyond what a router's own requests allow; owned by the traffic thread. */
+/**
+ * Requests permits for retries that exceed a router's own retry budget; owned by the traffic
+ * thread.
+ */
 final class SharedRetryPermits {
     private final ServiceRetryBudgets retryBudgets;
     private final SharedPermits permits;
--- a/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SilenceInquiry.java
@@ -9,8 +9,8 @@
 import org.masticweir.forward.SilenceTimer;
 
 /**
- * Determines whether a server that has been silent for too long still has a request; runs on the
- * traffic thread.
+ * Determines whether a server still has a request after its silence timeout; runs on the traffic
+ * thread.
  */
 final class SilenceInquiry {
     private final RelayContext context;
@@ -27,10 +27,11 @@
     }
 
     /**
-     * Calls {@code callback} once with the reason why the server is lost, or with nothing if it
-     * gets more time.
+     * Calls {@code callback} once with the reason of the loss, or with an empty value if the server
+     * is not lost.
      *
-     * @param isRelevant whether the result still matters; if not, {@code callback} is not called
+     * @param isRelevant whether the result is still needed; otherwise {@code callback} is not
+     *     called
      */
     void start(long nowMs, BooleanSupplier isRelevant, Consumer<Optional<String>> callback) {
         if (silenceTimer.isLossCertain()) {
@@ -51,8 +52,8 @@
     }
 
     /**
-     * Returns the loss of a server during its pause, when it takes no calls. It is assumed to be
-     * alive unless other sends to it have failed.
+     * Returns the reason of the loss of a server during its pause. A pausing server accepts no
+     * probes; it is assumed to be alive unless other sends to it have failed.
      */
     private Optional<String> checkDuringPause(long nowMs) {
         if (context.health().isDown(silenceTimer.server(), nowMs)) {
--- a/masticweir/src/main/java/org/masticweir/relay/StartupListener.java
+++ b/masticweir/src/main/java/org/masticweir/relay/StartupListener.java
@@ -15,15 +15,15 @@
 /**
  * Listens on the callers' port while a router starts, so that callers can connect; not thread-safe.
  *
- * <p>If all routers are lost and restart together, every connection is refused until they listen. A
- * caller that is refused twice does not come back, though its report could wait some seconds for
- * its first event. The operating system holds the connections that are made here, and the bytes
- * sent on them, until the router takes them over.
+ * <p>If all routers are lost and restart together, every connection is refused until a router
+ * listens. A caller does not retry after a second refusal, although its report could wait some
+ * seconds for the first event. With this listener, the operating system accepts the connections and
+ * buffers their bytes until the router accepts them.
  *
- * <p>This class must not log or load many classes: it is used before the log is set up.
+ * <p>This class must not log or load many classes, because it is used before the log is set up.
  */
 public final class StartupListener implements AutoCloseable {
-    /** Connections that may wait; the operating system refuses further ones. */
+    /** Maximum number of waiting connections; the operating system refuses further connections. */
     private static final int BACKLOG = 1_024;
 
     private final ServerSocketChannel channel;
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Closes the port and returns the connections that were made to it. */
+    /** Closes the port and returns the connections that callers have opened to it. */
     List<SocketChannel> release() throws IOException {
         List<SocketChannel> connections = new ArrayList<>();
         SocketChannel next = channel.accept();
--- a/masticweir/src/test/java/org/masticweir/relay/DrainingAdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/DrainingAdmissionTest.java
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Guards against a booking without an answer: it arrived 7.8 s after the shutdown request, over
-     * a connection that the balancer still assigned to this router, was sent to a server, and was
-     * cut off 70 ms later when the process had to exit.
+     * Guards against a booking without an answer. The booking arrived 7.8 s after the shutdown
+     * request, over a connection that the balancer still assigned to this router. It was sent to a
+     * server and interrupted 70 ms later by the exit of the process.
      */
     @Nested
     class Draining {
@@ -49,8 +49,8 @@
         }
 
         /**
-         * Guards against a report that is cut off: it arrived 3.1 s after the shutdown request,
-         * similar streams had ended in time, and its engine queued it.
+         * Guards against an interrupted report. The report arrived 3.1 s after the shutdown request
+         * and was admitted because similar streams had ended in time, but its engine queued it.
          */
         @Test
         void refusesLateStreamsHoweverShort() {
--- a/masticweir/src/test/java/org/masticweir/relay/EarlyConnectionProxyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/EarlyConnectionProxyTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against the loss of a report after all routers restart together: its connection is refused
- * during the start, and so is its only retry, though it could have waited.
+ * Guards against the loss of a report after all routers restart together. Its caller's connection
+ * and the only retry are refused during the start, although the report could have waited.
  */
 class EarlyConnectionProxyTest {
     private static final int WAIT_MS = 10_000;
@@ -49,7 +49,7 @@
         return socket;
     }
 
-    /** The router's own port, opened at the address of the listener. */
+    /** Opens the router's own port at the address of the listener. */
     private ServerSocket router() throws IOException {
         ServerSocket port = new ServerSocket(address.getPort(), 50, address.getAddress());
         port.setSoTimeout(WAIT_MS);
@@ -94,7 +94,10 @@
         }
     }
 
-    /** The request of a caller that gave up before it was read must not run. */
+    /**
+     * The request of a caller that has disconnected before the router reads the request must not
+     * run.
+     */
     @Test
     void dropsConnectionsOfDisconnectedCallers() throws IOException {
         caller().close();
@@ -108,7 +111,10 @@
         }
     }
 
-    /** A long request is forwarded in parts, and its caller's close follows the last part. */
+    /**
+     * A long request is forwarded in parts, and the caller closes the connection after the last
+     * part.
+     */
     @Test
     void forwardsNoCompleteRequestOfDisconnectedCallers() throws IOException {
         int bytes = (8 << 10) + 500;
@@ -135,7 +141,7 @@
         }
     }
 
-    /** The thread of a start ends once its callers have disconnected. */
+    /** The proxy's thread ends once all its callers have disconnected. */
     @Test
     void endsItsThreadWithTheLastConnection() throws Exception {
         try (Socket caller = caller();
--- a/masticweir/src/test/java/org/masticweir/relay/EventSplitterTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/EventSplitterTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The splitter passes on complete events only. */
+/** Tests that the splitter passes on only complete events. */
 class EventSplitterTest {
     private static final String THREE =
             "id: 7\ndata: a\n\nx-version: 2\nid: 8\r\ndata: b\r\n\r\ndata: no id\n\n";
@@ -39,7 +39,7 @@
         return splitter;
     }
 
-    /** The events are the same, byte for byte, however the bytes are divided in transit. */
+    /** The division of the bytes in transit does not change the events. */
     @Property
     void emitsTheSameEventsHoweverTheBytesAreDivided(@ForAll @IntRange(min = 1, max = 80) int step)
             throws IOException {
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Guards against half a sentence appearing twice in a report: a server stopped in the middle of
-     * an event, the part was passed on, and the next server started with that event.
+     * Guards against a duplicate half sentence in a report. A server stopped in the middle of an
+     * event, the partial event was passed on, and the next server sent the whole event.
      */
     @Test
     void holdsBackAnIncompleteEvent() throws IOException {
--- a/masticweir/src/test/java/org/masticweir/relay/HedgedPeerRequestTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/HedgedPeerRequestTest.java
@@ -15,8 +15,8 @@
 import org.masticweir.time.ManualScheduler;
 
 /**
- * Guards against dropping a late reply and requesting it again, and against a silent peer that
- * delays all requests.
+ * Guards against two faults: a late reply is dropped and requested again, or a silent peer delays
+ * all requests.
  */
 class HedgedPeerRequestTest {
     private static final CatalogRequest REQUEST = new CatalogRequest(1, true);
