--- a/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
@@ -68,7 +68,7 @@
     /** Handles the end of a server's events; the caller of this method must then end the answer. */
     void handleEnd(HttpHead head, long nowMs) {
         if (writer.isStreaming()) {
-            context.durations()
+            context.streamDurations()
                     .observe(
                             params.size(),
                             firstEventMs - params.receivedMs(),
--- a/masticweir/src/main/java/org/masticweir/relay/RelayContext.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayContext.java
@@ -19,7 +19,7 @@
 /**
  * Dependencies that all requests of a router share; owned by the traffic thread.
  *
- * @param sharedRetries permits for retries that exceed this router's own retry budget
+ * @param sharedRetryPermits permits for retries that exceed this router's own retry budget
  * @param limits rate limits that servers announce, and permits for requests within these limits
  * @param metadataRecorder recorder of the announcements in servers' answers
  * @param connectTimeoutMs timeout for a connection to a server
@@ -36,16 +36,16 @@
         LoadTracker loads,
         ServerHealth health,
         ServerSelector selector,
-        RetryLimiter retries,
-        SharedRetryPermits sharedRetries,
+        RetryLimiter retryLimiter,
+        SharedRetryPermits sharedRetryPermits,
         SharedLimits limits,
         AnswerMetadataRecorder metadataRecorder,
         SharedQuarantine quarantine,
         LossInquiry lossInquiry,
-        InFlightRequests inFlight,
+        InFlightRequests inFlightRequests,
         WaitQueue waitQueue,
         SilenceTimeouts silenceTimeouts,
-        StreamDurationEstimator durations,
+        StreamDurationEstimator streamDurations,
         RandomGenerator random,
         RelayMetrics metrics,
         long connectTimeoutMs,
--- a/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
@@ -58,7 +58,7 @@
     /** A request whose headers were accepted, with its entries of the catalog. */
     private record AdmittedRequest(
             HttpHeaders headers,
-            RequestMetadata caller,
+            RequestMetadata metadata,
             Route route,
             Optional<TeamId> team,
             ServiceName service,
@@ -103,17 +103,17 @@
         Route route =
                 catalog.route(host, exchange.getRequestURI())
                         .orElseThrow(() -> notFound(view, ErrorCode.NOT_FOUND, "no such route"));
-        RequestMetadata caller = parseMetadata(headers);
-        checkAdmission(route, caller, now, false);
-        Optional<Team> team = team(view, catalog, route, caller);
-        ServiceName service = route.service(caller.requestId().hashCode());
+        RequestMetadata metadata = parseMetadata(headers);
+        checkAdmission(route, metadata, now, false);
+        Optional<Team> team = team(view, catalog, route, metadata);
+        ServiceName service = route.service(metadata.requestId().hashCode());
         Optional<EngineSpec> engine = catalog.service(service).flatMap(ServiceSpec::engine);
         exchange.setMaxEntitySize(catalog.limits().maxBodyBytes());
         if (exchange.getRequestContentLength() > catalog.limits().maxBodyBytes()) {
             throw new Refusal(ErrorCode.BODY_TOO_LARGE, "the body is too long");
         }
         return new AdmittedRequest(
-                headers, caller, route, team.map(Team::id), service, engine, now);
+                headers, metadata, route, team.map(Team::id), service, engine, now);
     }
 
     /**
@@ -126,13 +126,13 @@
      * @param isBodyRead whether the body has been read
      */
     private void checkAdmission(
-            Route route, RequestMetadata caller, long receivedMs, boolean isBodyRead)
+            Route route, RequestMetadata metadata, long receivedMs, boolean isBodyRead)
             throws Refusal {
         long now = context.clock().nowMs();
         OptionalLong expectedMs =
                 route.streams()
-                        ? context.durations().expectedMs(caller.size())
-                        : OptionalLong.of(receivedMs + timeoutMs(route, caller) - now);
+                        ? context.streamDurations().expectedMs(metadata.size())
+                        : OptionalLong.of(receivedMs + timeoutMs(route, metadata) - now);
         boolean isAdmitted =
                 route.streams()
                         ? admission.admitsStream(expectedMs, now)
@@ -140,7 +140,7 @@
         if (admission.isDraining() && (isBodyRead || !isAdmitted)) {
             LOG.info(
                     "relay: request {} {} {} ms after the order to leave, it needs {} ms of {} ms",
-                    caller.requestId(),
+                    metadata.requestId(),
                     isAdmitted ? "taken" : "not taken",
                     admission.drainingForMs(now),
                     expectedMs.isPresent() ? expectedMs.getAsLong() : "unknown",
@@ -152,8 +152,8 @@
     }
 
     /** Returns the longest time that the request can take. */
-    private static long timeoutMs(Route route, RequestMetadata caller) {
-        return Math.min(caller.timeoutMs().orElse(Long.MAX_VALUE), route.timeoutMs());
+    private static long timeoutMs(Route route, RequestMetadata metadata) {
+        return Math.min(metadata.timeoutMs().orElse(Long.MAX_VALUE), route.timeoutMs());
     }
 
     /**
@@ -185,11 +185,11 @@
     }
 
     private static Optional<Team> team(
-            RelayView view, Catalog catalog, Route route, RequestMetadata caller) throws Refusal {
+            RelayView view, Catalog catalog, Route route, RequestMetadata metadata) throws Refusal {
         if (!catalog.hasTeams() || route.open()) {
             return Optional.empty();
         }
-        Optional<Team> team = caller.teamKey().flatMap(catalog::teamOf);
+        Optional<Team> team = metadata.teamKey().flatMap(catalog::teamOf);
         if (team.isEmpty()) {
             throw notFound(view, ErrorCode.UNAUTHORIZED, "no such key");
         }
@@ -219,7 +219,7 @@
                 (ex, e) -> {
                     LOG.info(
                             "relay: body of request {} could not be read, {}",
-                            admitted.caller().requestId(),
+                            admitted.metadata().requestId(),
                             e.getMessage());
                     boolean isTooLong = e instanceof Receiver.RequestToLargeException;
                     ex.setPersistent(false);
@@ -233,7 +233,7 @@
 
     private void startOrRefuse(HttpServerExchange exchange, AdmittedRequest admitted, byte[] body) {
         try {
-            checkAdmission(admitted.route(), admitted.caller(), admitted.receivedMs(), true);
+            checkAdmission(admitted.route(), admitted.metadata(), admitted.receivedMs(), true);
             start(exchange, admitted, body);
         } catch (Refusal refusal) {
             refuse(exchange, refusal);
@@ -241,22 +241,22 @@
     }
 
     private void start(HttpServerExchange exchange, AdmittedRequest admitted, byte[] body) {
-        long timeoutMs = timeoutMs(admitted.route(), admitted.caller());
+        long timeoutMs = timeoutMs(admitted.route(), admitted.metadata());
         RequestParameters params =
                 new RequestParameters(
                         admitted.route(),
                         admitted.service(),
                         admitted.engine(),
-                        admitted.caller().size(),
-                        admitted.caller().prompt(),
-                        admitted.caller().lastEventId(),
+                        admitted.metadata().size(),
+                        admitted.metadata().prompt(),
+                        admitted.metadata().lastEventId(),
                         admitted.receivedMs(),
                         admitted.receivedMs() + timeoutMs);
         RelayRequest request =
                 RelayRequest.of(
                         exchange,
                         params,
-                        admitted.caller(),
+                        admitted.metadata(),
                         admitted.team(),
                         admitted.headers(),
                         body);
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRequest.java
@@ -18,7 +18,7 @@
  */
 record RelayRequest(
         RequestParameters params,
-        RequestMetadata caller,
+        RequestMetadata metadata,
         Optional<TeamId> team,
         String method,
         String path,
@@ -26,7 +26,7 @@
         byte[] body) {
     RelayRequest {
         checkNotNull(params, "params");
-        checkNotNull(caller, "caller");
+        checkNotNull(metadata, "metadata");
         checkNotNull(team, "team");
         checkNotNull(method, "method");
         checkNotNull(path, "path");
@@ -37,30 +37,30 @@
     static RelayRequest of(
             HttpServerExchange exchange,
             RequestParameters params,
-            RequestMetadata caller,
+            RequestMetadata metadata,
             Optional<TeamId> team,
             HttpHeaders headers,
             byte[] body) {
         String query = exchange.getQueryString();
         String path = exchange.getRequestURI() + (query.isEmpty() ? "" : "?" + query);
         String method = exchange.getRequestMethod().toString();
-        return new RelayRequest(params, caller, team, method, path, headers, body);
+        return new RelayRequest(params, metadata, team, method, path, headers, body);
     }
 
     /** Returns the id that the caller has assigned to this attempt. */
     String id() {
-        return caller.requestId();
+        return metadata.requestId();
     }
 
     /** Returns the HTTP call for {@code send}. */
     HttpCall toCall(Step.Send send, PlatformProtocol protocol, long nowMs) {
         long leftMs = Math.max(1, params.expiresMs() - nowMs);
-        SendMetadata head = new SendMetadata(caller.requestId(), send, team, leftMs);
+        SendMetadata sendMetadata = new SendMetadata(metadata.requestId(), send, team, leftMs);
         return new HttpCall(
                 method,
                 send.server().address(),
                 path,
-                protocol.headersToServer(headers, head),
+                protocol.headersToServer(headers, sendMetadata),
                 body);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/RequestLifecycle.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLifecycle.java
@@ -19,8 +19,8 @@
 import org.masticweir.relay.RelayMetrics.SendEnd;
 
 /**
- * Lifecycle of one request, from its last byte to the last of its answer; on the traffic thread.
- * Executes the steps of its {@link RequestStateMachine}; owns timer, connection and load entry.
+ * Lifecycle of one request after its body was read; owns its timer, connection and load entry.
+ * Executes the steps of its {@link RequestStateMachine}; runs on the traffic thread.
  */
 final class RequestLifecycle implements InFlightRequests.Request {
     private final RelayContext context;
@@ -63,7 +63,7 @@
                         () -> context.view().get().serversOf(params.service()),
                         context.selector(),
                         context.health(),
-                        context.retries(),
+                        context.retryLimiter(),
                         monitor.policy(),
                         context.waitQueue(),
                         context.random());
@@ -73,7 +73,7 @@
     }
 
     void start() {
-        context.inFlight().add(this);
+        context.inFlightRequests().add(this);
         if (!isEnded) {
             execute(machine.next(now()));
         }
@@ -190,7 +190,7 @@
         }
     }
 
-    /** Sets the timer to the deadline or, if earlier, to the check for silence or slowness. */
+    /** Sets the timer to the earlier of the deadline and the next check of the server. */
     private void scheduleTimer() {
         long dueMs = params.expiresMs();
         if (params.route().streams()) {
@@ -243,7 +243,7 @@
         machine.onSlowAnswer(now).ifPresent(this::retryElsewhere);
     }
 
-    /** Abandons the current send once a permit for a retry is granted. */
+    /** Abandons the current send once a retry permit is granted. */
     private void retryElsewhere(Step step) {
         SilenceTimer oldTimer = silence;
         if (step instanceof Step.Send) {
@@ -346,7 +346,7 @@
     private void release() {
         isEnded = true;
         machine.close();
-        context.inFlight().remove(this);
+        context.inFlightRequests().remove(this);
         closeSend();
         detector.stop();
     }
--- a/masticweir/src/main/java/org/masticweir/relay/RequestPermits.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestPermits.java
@@ -34,7 +34,7 @@
     /** Requests a permit to retry the request. */
     void requestRetryPermit(ServiceName service, int urgency, Consumer<Boolean> callback) {
         long requestedMs = context.clock().nowMs();
-        context.sharedRetries()
+        context.sharedRetryPermits()
                 .request(
                         service,
                         urgency,
--- a/masticweir/src/test/java/org/masticweir/relay/DrainingAdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/DrainingAdmissionTest.java
@@ -33,7 +33,7 @@
         }
 
         @Test
-        void refusesRequestsThatMayNotEndInTime() {
+        void refusesRequestsThatMightNotEndInTime() {
             assertFalse(admission.admits(TIMEOUT_MS, 16_818));
             assertFalse(admission.admits(TIMEOUT_MS, 16_851 - TIMEOUT_MS));
         }
--- a/masticweir/src/test/java/org/masticweir/relay/EarlyConnectionProxyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/EarlyConnectionProxyTest.java
@@ -84,13 +84,14 @@
         try (Socket caller = caller();
                 ServerSocket port = listenAfterRelease();
                 Socket inner = port.accept()) {
-            CompletableFuture<Void> sent = CompletableFuture.runAsync(() -> write(caller, body));
+            CompletableFuture<Void> sending = CompletableFuture.runAsync(() -> write(caller, body));
             assertArrayEquals(body, inner.getInputStream().readNBytes(body.length));
-            sent.get(WAIT_MS, TimeUnit.MILLISECONDS);
-            CompletableFuture<Void> back = CompletableFuture.runAsync(() -> write(inner, body));
-            byte[] got = caller.getInputStream().readNBytes(body.length);
-            back.get(WAIT_MS, TimeUnit.MILLISECONDS);
-            assertEquals(Arrays.hashCode(body), Arrays.hashCode(got));
+            sending.get(WAIT_MS, TimeUnit.MILLISECONDS);
+            CompletableFuture<Void> answering =
+                    CompletableFuture.runAsync(() -> write(inner, body));
+            byte[] receivedBody = caller.getInputStream().readNBytes(body.length);
+            answering.get(WAIT_MS, TimeUnit.MILLISECONDS);
+            assertEquals(Arrays.hashCode(body), Arrays.hashCode(receivedBody));
         }
     }
 
@@ -101,10 +102,10 @@
     @Test
     void dropsConnectionsOfDisconnectedCallers() throws IOException {
         caller().close();
-        try (Socket stays = caller();
+        try (Socket connectedCaller = caller();
                 ServerSocket port = listenAfterRelease();
                 Socket inner = port.accept()) {
-            stays.getOutputStream().write('s');
+            connectedCaller.getOutputStream().write('s');
             assertEquals('s', inner.getInputStream().read());
             port.setSoTimeout(200);
             assertThrows(IOException.class, port::accept);
@@ -124,8 +125,8 @@
         try (ServerSocket port = listenAfterRelease();
                 Socket inner = port.accept()) {
             inner.setSoTimeout(WAIT_MS);
-            int got = inner.getInputStream().readAllBytes().length;
-            assertTrue(got < bytes, got + " bytes of " + bytes);
+            int receivedBytes = inner.getInputStream().readAllBytes().length;
+            assertTrue(receivedBytes < bytes, receivedBytes + " bytes of " + bytes);
         }
     }
 
--- a/masticweir/src/test/java/org/masticweir/relay/EventSplitterTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/EventSplitterTest.java
@@ -18,7 +18,7 @@
 
 /** Tests that the splitter passes on only complete events. */
 class EventSplitterTest {
-    private static final String THREE =
+    private static final String THREE_EVENTS =
             "id: 7\ndata: a\n\nx-version: 2\nid: 8\r\ndata: b\r\n\r\ndata: no id\n\n";
 
     private final List<String> events = new ArrayList<>();
@@ -45,8 +45,8 @@
             throws IOException {
         events.clear();
         ids.clear();
-        EventSplitter splitter = split(THREE, step);
-        assertEquals(THREE, String.join("", events));
+        EventSplitter splitter = split(THREE_EVENTS, step);
+        assertEquals(THREE_EVENTS, String.join("", events));
         assertEquals(List.of(OptionalLong.of(7), OptionalLong.of(8), OptionalLong.empty()), ids);
         assertTrue(splitter.isAtEventEnd());
     }
@@ -56,7 +56,7 @@
      * event, the partial event was passed on, and the next server sent the whole event.
      */
     @Test
-    void holdsBackAnIncompleteEvent() throws IOException {
+    void doesNotPassOnAnIncompleteEvent() throws IOException {
         EventSplitter splitter = split("id: 1\ndata: a\n\nid: 2\ndata: ha", 5);
         assertEquals(1, events.size());
         assertFalse(splitter.isAtEventEnd());
--- a/masticweir/src/test/java/org/masticweir/relay/ExchangeCompletionTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ExchangeCompletionTest.java
@@ -24,14 +24,17 @@
 class ExchangeCompletionTest {
     private static final long WAIT_MS = 10_000;
 
-    /** More than the operating system buffers for a caller that does not read. */
-    private static final int LONG_BYTES = 16 << 20;
+    /**
+     * Size of an answer that exceeds the operating system's buffers for a caller that does not
+     * read.
+     */
+    private static final int LONG_ANSWER_BYTES = 16 << 20;
 
-    private static final int RECEIVE_BYTES = 4 << 10;
+    private static final int RECEIVE_BUFFER_BYTES = 4 << 10;
 
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
-    private final CompletableFuture<Boolean> endedWithTheCall = new CompletableFuture<>();
-    private volatile int answerBytes = LONG_BYTES;
+    private final CompletableFuture<Void> completion = new CompletableFuture<>();
+    private final CompletableFuture<Boolean> isCompleteAfterCall = new CompletableFuture<>();
+    private volatile int answerBytes = LONG_ANSWER_BYTES;
     private Undertow server;
 
     @BeforeEach
@@ -51,15 +54,15 @@
 
     private void answer(HttpServerExchange exchange) {
         ExchangeCompletion.addListener(
-                exchange, new KeepAliveConnections(), () -> ended.complete(null));
+                exchange, new KeepAliveConnections(), () -> completion.complete(null));
         HttpHead head = new HttpHead(200, HttpHeaders.copyOf(Map.of()));
         new CallerAnswerWriter(exchange, () -> {}).sendComplete(head, new byte[answerBytes]);
-        endedWithTheCall.complete(ended.isDone());
+        isCompleteAfterCall.complete(completion.isDone());
     }
 
-    private Socket ask() throws IOException {
+    private Socket sendRequest() throws IOException {
         Socket caller = new Socket();
-        caller.setReceiveBufferSize(RECEIVE_BYTES);
+        caller.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
         caller.connect((InetSocketAddress) server.getListenerInfo().get(0).getAddress());
         String request = "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
         caller.getOutputStream().write(request.getBytes(US_ASCII));
@@ -83,27 +86,27 @@
      */
     @Test
     void completesAfterTheLastByteOfTheAnswer() throws Exception {
-        try (Socket caller = ask()) {
-            assertFalse(endedWithTheCall.get(WAIT_MS, TimeUnit.MILLISECONDS));
-            assertFalse(ended.isDone());
-            assertTrue(readAll(caller.getInputStream()) > LONG_BYTES);
-            ended.get(WAIT_MS, TimeUnit.MILLISECONDS);
+        try (Socket caller = sendRequest()) {
+            assertFalse(isCompleteAfterCall.get(WAIT_MS, TimeUnit.MILLISECONDS));
+            assertFalse(completion.isDone());
+            assertTrue(readAll(caller.getInputStream()) > LONG_ANSWER_BYTES);
+            completion.get(WAIT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     @Test
     void completesWhenACallerThatDoesNotReadCloses() throws Exception {
-        try (Socket caller = ask()) {
-            endedWithTheCall.get(WAIT_MS, TimeUnit.MILLISECONDS);
+        try (Socket caller = sendRequest()) {
+            isCompleteAfterCall.get(WAIT_MS, TimeUnit.MILLISECONDS);
         }
-        ended.get(WAIT_MS, TimeUnit.MILLISECONDS);
+        completion.get(WAIT_MS, TimeUnit.MILLISECONDS);
     }
 
     @Test
     void completesSoonForAShortAnswer() throws Exception {
         answerBytes = 1;
-        try (Socket caller = ask()) {
-            ended.get(WAIT_MS, TimeUnit.MILLISECONDS);
+        try (Socket caller = sendRequest()) {
+            completion.get(WAIT_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
