--- a/masticweir/src/main/java/org/masticweir/claims/ClaimBatcher.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimBatcher.java
@@ -27,14 +27,14 @@
 /**
  * Decides which claims of one router share a transaction, and when it is sent.
  *
- * <p>{@link #offer} queues a write, {@link #next} returns the next transaction that is due, and
- * {@link #onOutcome} converts the outcome of a transaction to the outcomes of its claims. A claim
- * whose row differs fails alone; the others are queued again for the next group. Not thread-safe:
- * owned by the control thread.
+ * <p>{@link #offer} queues a write, {@link #nextGroup} returns the next transaction that is due,
+ * and {@link #onOutcome} converts the outcome of a transaction to the outcomes of its claims. A
+ * claim whose row differs fails alone; the others are queued again for the next group. Not
+ * thread-safe: owned by the control thread.
  */
 final class ClaimBatcher {
     /** A queued write and the time from which it waits. */
-    private record Queued(BatchItem item, long sinceMs) {
+    private record QueuedWrite(BatchItem item, long sinceMs) {
         RowKey key() {
             return item.write().key();
         }
@@ -42,11 +42,12 @@
 
     private final BatchLimits limits;
     private final WriteBudget budget;
-    private final Deque<Queued> urgent = new ArrayDeque<>();
-    private final Queue<Queued> lazy = new PriorityQueue<>(comparingLong(Queued::sinceMs));
-    private final Map<Long, List<Queued>> inFlight = new HashMap<>();
-    private long lastGroup;
-    private int failures;
+    private final Deque<QueuedWrite> urgentWrites = new ArrayDeque<>();
+    private final Queue<QueuedWrite> lazyWrites =
+            new PriorityQueue<>(comparingLong(QueuedWrite::sinceMs));
+    private final Map<Long, List<QueuedWrite>> groupsInFlight = new HashMap<>();
+    private long lastGroupId;
+    private int consecutiveFailures;
     private long pausedUntilMs = Long.MIN_VALUE;
 
     ClaimBatcher(BatchLimits limits, long nowMs) {
@@ -61,38 +62,38 @@
      * when the queue is full and while the table is unavailable.
      */
     OptionalLong offer(BatchItem item, long nowMs) {
-        boolean isUrgent = item.write().urgent();
+        boolean isUrgent = item.write().isUrgent();
         if (isUrgent && isPaused(nowMs)) {
             return OptionalLong.of(pausedUntilMs - nowMs);
         }
-        Queue<Queued> queue = isUrgent ? urgent : lazy;
+        Queue<QueuedWrite> queue = isUrgent ? urgentWrites : lazyWrites;
         if (queue.size() >= (isUrgent ? limits.queueRows() : limits.lazyRows())) {
             return OptionalLong.of(budget.durationMs(1 + queue.size() / limits.maxRows()));
         }
-        queue.add(new Queued(item, Math.max(nowMs, item.write().notBeforeMs())));
+        queue.add(new QueuedWrite(item, Math.max(nowMs, item.write().notBeforeMs())));
         return OptionalLong.empty();
     }
 
     /** Returns the group to commit now, if one is due. */
-    Optional<ClaimGroup> next(long nowMs) {
+    Optional<ClaimGroup> nextGroup(long nowMs) {
         if (dueMs(nowMs) > nowMs) {
             return Optional.empty();
         }
-        List<Queued> chosen = new ArrayList<>();
+        List<QueuedWrite> chosen = new ArrayList<>();
         Set<RowKey> keys = new HashSet<>();
-        moveToBatch(urgent, chosen, keys, nowMs);
-        moveToBatch(lazy, chosen, keys, nowMs);
+        moveToBatch(urgentWrites, chosen, keys, nowMs);
+        moveToBatch(lazyWrites, chosen, keys, nowMs);
         if (chosen.isEmpty()) {
             return Optional.empty();
         }
         budget.spend();
-        inFlight.put(++lastGroup, chosen);
-        return Optional.of(new ClaimGroup(lastGroup, Lists.transform(chosen, Queued::item)));
+        groupsInFlight.put(++lastGroupId, chosen);
+        return Optional.of(new ClaimGroup(lastGroupId, Lists.transform(chosen, QueuedWrite::item)));
     }
 
     /**
-     * Returns the time at which to call {@link #next} again, if a write is queued that can become
-     * due.
+     * Returns the time at which to call {@link #nextGroup} again, if a write is queued that can
+     * become due.
      */
     OptionalLong nextDueMs(long nowMs) {
         long due = dueMs(nowMs);
@@ -101,14 +102,14 @@
 
     /** Returns the outcomes of the claims in a group whose transaction had {@code outcome}. */
     List<BatchEvent> onOutcome(long group, TransactionOutcome outcome, long nowMs) {
-        List<Queued> items = inFlight.remove(group);
+        List<QueuedWrite> items = groupsInFlight.remove(group);
         checkArgument(items != null, "group %s is not under way", group);
         if (outcome instanceof TransactionOutcome.Committed c) {
-            failures = 0;
+            consecutiveFailures = 0;
             return events(items, w -> new ClaimEvent.Committed(w.ticket(), c.revision()));
         }
         if (outcome instanceof TransactionOutcome.Conflicted c) {
-            failures = 0;
+            consecutiveFailures = 0;
             return onConflict(items, c.rows());
         }
         List<BatchEvent> events = new ArrayList<>();
@@ -128,11 +129,11 @@
 
     /** Returns how long the write budget needs for the queued rows that callers wait for. */
     long urgentQueueMs() {
-        return budget.durationMs(urgent.size() / limits.maxRows());
+        return budget.durationMs(urgentWrites.size() / limits.maxRows());
     }
 
     int queuedRows() {
-        return urgent.size() + lazy.size();
+        return urgentWrites.size() + lazyWrites.size();
     }
 
     /**
@@ -143,20 +144,20 @@
      * written anew. A conflict that names none of the transaction's rows proves nothing, and
      * requeueing could repeat it forever.
      */
-    private List<BatchEvent> onConflict(List<Queued> items, List<Row> rows) {
+    private List<BatchEvent> onConflict(List<QueuedWrite> items, List<Row> rows) {
         Map<RowKey, Row> differing =
                 rows.stream().collect(Collectors.toMap(Row::key, r -> r, (a, b) -> b));
-        List<Queued> conflicting = new ArrayList<>();
-        List<Queued> unaffected = new ArrayList<>();
+        List<QueuedWrite> conflicting = new ArrayList<>();
+        List<QueuedWrite> unaffected = new ArrayList<>();
         items.forEach(q -> (differing.containsKey(q.key()) ? conflicting : unaffected).add(q));
         if (conflicting.isEmpty()) {
             return events(items, w -> new ClaimEvent.Unknown(w.ticket()));
         }
-        for (Queued q : Lists.reverse(unaffected)) {
-            if (q.item().write().urgent()) {
-                urgent.addFirst(q);
+        for (QueuedWrite q : Lists.reverse(unaffected)) {
+            if (q.item().write().isUrgent()) {
+                urgentWrites.addFirst(q);
             } else {
-                lazy.add(q);
+                lazyWrites.add(q);
             }
         }
         return events(
@@ -168,40 +169,41 @@
      * effect.
      */
     private List<BatchEvent> countFailure(long nowMs) {
-        failures++;
-        if (failures < limits.failuresToPause()) {
+        consecutiveFailures++;
+        if (consecutiveFailures < limits.failuresToPause()) {
             return ImmutableList.of();
         }
         pausedUntilMs = nowMs + limits.pauseMs();
         OptionalLong advice = OptionalLong.of(limits.pauseMs());
-        List<Queued> waiting = ImmutableList.copyOf(urgent);
-        urgent.clear();
-        return events(waiting, w -> new ClaimEvent.NotDone(w.ticket(), advice));
+        List<QueuedWrite> refusedWrites = ImmutableList.copyOf(urgentWrites);
+        urgentWrites.clear();
+        return events(refusedWrites, w -> new ClaimEvent.NotDone(w.ticket(), advice));
     }
 
     private static List<BatchEvent> events(
-            List<Queued> items, Function<ClaimWrite, ClaimEvent> event) {
+            List<QueuedWrite> items, Function<ClaimWrite, ClaimEvent> event) {
         return items.stream()
-                .map(Queued::item)
+                .map(QueuedWrite::item)
                 .map(i -> new BatchEvent(i.claim(), event.apply(i.write())))
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private void moveToBatch(Queue<Queued> from, List<Queued> to, Set<RowKey> keys, long nowMs) {
-        List<Queued> later = new ArrayList<>();
+    private void moveToBatch(
+            Queue<QueuedWrite> from, List<QueuedWrite> to, Set<RowKey> keys, long nowMs) {
+        List<QueuedWrite> skippedWrites = new ArrayList<>();
         while (to.size() < limits.maxRows() && !from.isEmpty()) {
             if (from.peek().sinceMs() > nowMs) {
                 break;
             }
-            Queued next = from.remove();
+            QueuedWrite next = from.remove();
             // In one transaction, two writes of the same row would fail each other's check.
-            (keys.add(next.key()) ? to : later).add(next);
+            (keys.add(next.key()) ? to : skippedWrites).add(next);
         }
-        from.addAll(later);
+        from.addAll(skippedWrites);
     }
 
     private long dueMs(long nowMs) {
-        if (inFlight.size() >= limits.inFlight()) {
+        if (groupsInFlight.size() >= limits.inFlight()) {
             return Long.MAX_VALUE;
         }
         long due = Math.min(urgentDueMs(), lazyDueMs());
@@ -212,13 +214,17 @@
     }
 
     private long urgentDueMs() {
-        if (urgent.size() >= limits.maxRows()) {
+        if (urgentWrites.size() >= limits.maxRows()) {
             return Long.MIN_VALUE;
         }
-        return urgent.isEmpty() ? Long.MAX_VALUE : urgent.peek().sinceMs() + limits.waitMs();
+        return urgentWrites.isEmpty()
+                ? Long.MAX_VALUE
+                : urgentWrites.peek().sinceMs() + limits.waitMs();
     }
 
     private long lazyDueMs() {
-        return lazy.isEmpty() ? Long.MAX_VALUE : lazy.peek().sinceMs() + limits.lazyWaitMs();
+        return lazyWrites.isEmpty()
+                ? Long.MAX_VALUE
+                : lazyWrites.peek().sinceMs() + limits.lazyWaitMs();
     }
 }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimMessageCodecs.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimMessageCodecs.java
@@ -7,22 +7,22 @@
 
 /** The codecs of claim messages, for the registry of a router's links. */
 public final class ClaimMessageCodecs {
-    private static final int CLAIM_OFFER = 72;
-    private static final int CLAIM_TAKEN = 73;
-    private static final int CLAIM_ANSWER = 74;
+    private static final int WRITE_REQUEST_TYPE = 72;
+    private static final int WRITE_ACCEPTED_TYPE = 73;
+    private static final int WRITE_RESPONSE_TYPE = 74;
 
     private static final List<ClaimWriteResponse.Kind> KINDS =
             List.of(ClaimWriteResponse.Kind.values());
 
-    private static final MessageCodec<ClaimWriteRequest> OFFER =
+    private static final MessageCodec<ClaimWriteRequest> WRITE_REQUEST =
             FieldsCodec.of(
-                    CLAIM_OFFER,
+                    WRITE_REQUEST_TYPE,
                     ClaimWriteRequest.class,
                     6,
                     (m, out) -> {
                         out.packLong(m.id().claim()).packInt(m.id().ticket());
                         out.packString(m.key()).packLong(m.expectedRevision());
-                        out.packBoolean(m.urgent()).packString(m.row());
+                        out.packBoolean(m.isUrgent()).packString(m.row());
                     },
                     f ->
                             new ClaimWriteRequest(
@@ -32,17 +32,17 @@
                                     f.bool(),
                                     f.text(ClaimWriteRequest.MAX_ROW_BYTES)));
 
-    private static final MessageCodec<ClaimWriteAccepted> TAKEN =
+    private static final MessageCodec<ClaimWriteAccepted> WRITE_ACCEPTED =
             FieldsCodec.of(
-                    CLAIM_TAKEN,
+                    WRITE_ACCEPTED_TYPE,
                     ClaimWriteAccepted.class,
                     2,
                     (m, out) -> out.packLong(m.id().claim()).packInt(m.id().ticket()),
                     f -> new ClaimWriteAccepted(new ClaimWriteId(f.int64(), f.int32())));
 
-    private static final MessageCodec<ClaimWriteResponse> ANSWER =
+    private static final MessageCodec<ClaimWriteResponse> WRITE_RESPONSE =
             FieldsCodec.of(
-                    CLAIM_ANSWER,
+                    WRITE_RESPONSE_TYPE,
                     ClaimWriteResponse.class,
                     3,
                     (m, out) -> {
@@ -59,6 +59,6 @@
 
     /** Returns the codecs; they use the message types 72 to 74. */
     public static ImmutableList<MessageCodec<?>> all() {
-        return ImmutableList.of(OFFER, TAKEN, ANSWER);
+        return ImmutableList.of(WRITE_REQUEST, WRITE_ACCEPTED, WRITE_RESPONSE);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimRow.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimRow.java
@@ -59,12 +59,12 @@
     }
 
     /** Returns this claim with status done; a result that is too long is not stored. */
-    public ClaimRow done(Verdict end, String answer) {
-        String kept = answer.length() <= MAX_RESULT_CHARS ? answer : "";
-        return new ClaimRow(nonce, owner, wallMs, ClaimStatus.DONE, end, kept);
+    public ClaimRow done(Verdict finalVerdict, String answer) {
+        String storedResult = answer.length() <= MAX_RESULT_CHARS ? answer : "";
+        return new ClaimRow(nonce, owner, wallMs, ClaimStatus.DONE, finalVerdict, storedResult);
     }
 
-    public boolean isFrom(String otherNonce) {
+    public boolean hasNonce(String otherNonce) {
         return nonce.equals(otherNonce);
     }
 
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimService.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimService.java
@@ -42,20 +42,20 @@
 
     /** A claim in progress. */
     private record ActiveClaim(
-            ClaimStateMachine state,
+            ClaimStateMachine stateMachine,
             CompletableFuture<ClaimDecision> decision,
-            ScheduledFuture<?> timer) {}
+            ScheduledFuture<?> deadlineTimer) {}
 
     private final RouterId self;
     private final TableService table;
     private final ScheduledExecutorService control;
     private final Clock clock;
     private final ClaimServiceSettings settings;
-    private final ClaimBatcher batch;
+    private final ClaimBatcher batcher;
     private final PeerWrites peerWrites;
-    private final Map<Long, ActiveClaim> active = new HashMap<>();
-    private Optional<DelegatedWrites> delegated = Optional.empty();
-    private long lastClaim;
+    private final Map<Long, ActiveClaim> activeClaims = new HashMap<>();
+    private Optional<DelegatedWrites> delegatedWrites = Optional.empty();
+    private long lastClaimId;
     private long wakeUpAtMs = Long.MAX_VALUE;
 
     private ClaimService(
@@ -69,8 +69,8 @@
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
         this.settings = checkNotNull(settings, "settings");
-        batch = new ClaimBatcher(settings.batch(), clock.nowMs());
-        peerWrites = new PeerWrites(batch, clock);
+        batcher = new ClaimBatcher(settings.batch(), clock.nowMs());
+        peerWrites = new PeerWrites(batcher, clock);
     }
 
     /** Returns a service that runs on {@code control}. */
@@ -106,7 +106,7 @@
             Supplier<? extends Collection<RouterId>> serving,
             SharedWriteLimits limits) {
         WriteDelegation delegation = new WriteDelegation(self, limits);
-        delegated =
+        delegatedWrites =
                 Optional.of(
                         new DelegatedWrites(
                                 delegation,
@@ -115,14 +115,14 @@
                                 serving,
                                 control,
                                 clock,
-                                () -> batch.isPaused(clock.nowMs()),
+                                () -> batcher.isPaused(clock.nowMs()),
                                 this::onDelegationAction));
     }
 
     /** Queues the write of another router if there is room; control thread only. */
     void acceptPeerWrite(RouterId from, ClaimWriteRequest request, Reply reply) {
         if (peerWrites.accept(request, reply)) {
-            delegated.ifPresent(d -> d.sendAccepted(from, request.id()));
+            delegatedWrites.ifPresent(d -> d.sendAccepted(from, request.id()));
         }
         commitDueGroups();
     }
@@ -131,7 +131,7 @@
      * Handles a writer's notification that it queued a write of this router; control thread only.
      */
     void onAccepted(ClaimWriteAccepted message) {
-        delegated.ifPresent(d -> d.onAccepted(message.id()));
+        delegatedWrites.ifPresent(d -> d.onAccepted(message.id()));
     }
 
     @Override
@@ -160,7 +160,7 @@
 
     private void start(RowKey key, long deadlineMs, CompletableFuture<ClaimDecision> decision) {
         long now = clock.nowMs();
-        long id = ++lastClaim;
+        long id = ++lastClaimId;
         ClaimRow row = ClaimRow.claimed(UUID.randomUUID().toString(), self, clock.wallMs());
         ClaimStateMachine state =
                 ClaimStateMachine.of(key, row, settings.policy(), now, deadlineMs);
@@ -169,7 +169,7 @@
                         () -> deliver(id, new ClaimEvent.GiveUp()),
                         Math.max(0, deadlineMs - now),
                         TimeUnit.MILLISECONDS);
-        active.put(id, new ActiveClaim(state, decision, timer));
+        activeClaims.put(id, new ActiveClaim(state, decision, timer));
         apply(id, state.start(now));
         commitDueGroups();
     }
@@ -180,12 +180,12 @@
     }
 
     private void deliverOne(long id, ClaimEvent event) {
-        ActiveClaim claim = active.get(id);
+        ActiveClaim claim = activeClaims.get(id);
         if (claim == null) {
             return;
         }
         try {
-            apply(id, claim.state().on(event, clock.nowMs()));
+            apply(id, claim.stateMachine().onEvent(event, clock.nowMs()));
         } catch (IllegalArgumentException | IllegalStateException e) {
             // The request of a row that can't be read, for example one of a later version, must not
             // run twice.
@@ -206,7 +206,7 @@
     }
 
     private void apply(long id, ClaimAction action) {
-        ActiveClaim claim = active.get(id);
+        ActiveClaim claim = activeClaims.get(id);
         if (action instanceof ClaimAction.Write w) {
             write(id, w.write());
         } else if (action instanceof ClaimAction.Grant m) {
@@ -223,7 +223,7 @@
 
     private void write(long id, ClaimWrite write) {
         BatchItem item = new BatchItem(id, write);
-        if (!delegated.map(o -> o.delegate(item)).orElse(false)) {
+        if (!delegatedWrites.map(o -> o.delegate(item)).orElse(false)) {
             writeLocally(item);
         }
     }
@@ -240,34 +240,34 @@
     private void writeLocally(BatchItem item) {
         ClaimWrite write = item.write();
         long id = item.claim();
-        OptionalLong refused = batch.offer(item, clock.nowMs());
-        if (refused.isPresent()) {
+        OptionalLong retryAfterMs = batcher.offer(item, clock.nowMs());
+        if (retryAfterMs.isPresent()) {
             // Runs as a separate task so that repeated refusals don't nest calls, and not before
             // the start time of the write, so that its retries last for an outage.
-            ClaimEvent event = new ClaimEvent.NotDone(write.ticket(), refused);
+            ClaimEvent event = new ClaimEvent.NotDone(write.ticket(), retryAfterMs);
             long delayMs = Math.max(0, write.notBeforeMs() - clock.nowMs());
             control.schedule(() -> deliver(id, event), delayMs, TimeUnit.MILLISECONDS);
         }
     }
 
     private static void complete(ActiveClaim claim, ClaimDecision decision) {
-        claim.timer().cancel(false);
+        claim.deadlineTimer().cancel(false);
         claim.decision().complete(decision);
     }
 
     private void remove(long id) {
-        ActiveClaim claim = active.remove(id);
-        claim.timer().cancel(false);
+        ActiveClaim claim = activeClaims.remove(id);
+        claim.deadlineTimer().cancel(false);
     }
 
     private void commitDueGroups() {
         long now = clock.nowMs();
-        Optional<ClaimGroup> group = batch.next(now);
+        Optional<ClaimGroup> group = batcher.nextGroup(now);
         while (group.isPresent()) {
             commit(group.get());
-            group = batch.next(now);
+            group = batcher.nextGroup(now);
         }
-        batch.nextDueMs(now).ifPresent(due -> wakeUpAt(due, now));
+        batcher.nextDueMs(now).ifPresent(due -> wakeUpAt(due, now));
     }
 
     private void commit(ClaimGroup group) {
@@ -276,10 +276,10 @@
     }
 
     private void onOutcome(ClaimGroup group, TransactionOutcome outcome) {
-        boolean wasPaused = batch.isPaused(clock.nowMs());
-        List<BatchEvent> events = batch.onOutcome(group.id(), outcome, clock.nowMs());
-        if (!wasPaused && batch.isPaused(clock.nowMs())) {
-            LOG.warn("claims: table out, {}, {} rows wait", outcome, batch.queuedRows());
+        boolean wasPaused = batcher.isPaused(clock.nowMs());
+        List<BatchEvent> events = batcher.onOutcome(group.id(), outcome, clock.nowMs());
+        if (!wasPaused && batcher.isPaused(clock.nowMs())) {
+            LOG.warn("claims: table out, {}, {} rows wait", outcome, batcher.queuedRows());
         }
         for (BatchEvent e : events) {
             if (!peerWrites.respond(e)) {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStateMachine.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStateMachine.java
@@ -35,7 +35,7 @@
     }
 
     private final RowKey key;
-    private final ClaimRow claim;
+    private final ClaimRow claimRow;
     private final ClaimPolicy policy;
     private final long sendBeforeMs;
     private final long deadlineMs;
@@ -44,14 +44,14 @@
     private ClaimRow targetRow;
     private long revision = Row.ABSENT;
     private int ticket;
-    private int attempts;
+    private int writeAttempts;
     private boolean mayHaveCommitted;
     private long settleUntilMs;
 
     private ClaimStateMachine(
             RowKey key, ClaimRow claim, ClaimPolicy policy, long nowMs, long deadlineMs) {
         this.key = checkNotNull(key, "key");
-        this.claim = checkNotNull(claim, "claim");
+        this.claimRow = checkNotNull(claim, "claimRow");
         this.policy = checkNotNull(policy, "policy");
         this.deadlineMs = deadlineMs;
         checkArgument(
@@ -75,7 +75,7 @@
     }
 
     /** Handles one event and returns the next actions in order. */
-    public List<ClaimAction> on(ClaimEvent event, long nowMs) {
+    public List<ClaimAction> onEvent(ClaimEvent event, long nowMs) {
         checkNotNull(event, "event");
         if (phase == Phase.CLOSED || isStale(event)) {
             return ImmutableList.of();
@@ -96,9 +96,9 @@
             return phase == Phase.CLAIMING ? giveUp(nowMs) : ImmutableList.of();
         }
         if (event instanceof ClaimEvent.Ended e) {
-            return end(claim.done(e.verdict(), e.result()), nowMs);
+            return end(claimRow.done(e.verdict(), e.result()), nowMs);
         }
-        return end(claim.released(), nowMs);
+        return end(claimRow.released(), nowMs);
     }
 
     /**
@@ -137,7 +137,7 @@
         }
         if (row.isPresent()) {
             ClaimRow found = ClaimRow.decode(row.value());
-            if (found.isFrom(claim.nonce())) {
+            if (found.hasNonce(claimRow.nonce())) {
                 return onOwnRow(found, row.revision(), nowMs);
             }
             if (phase == Phase.SETTLING || !found.status().isClaimable()) {
@@ -194,7 +194,7 @@
 
     private List<ClaimAction> retryOrEnd(long nowMs) {
         if (phase == Phase.CLAIMING) {
-            boolean isExhausted = attempts >= policy.maxTries() || nowMs >= deadlineMs;
+            boolean isExhausted = writeAttempts >= policy.maxTries() || nowMs >= deadlineMs;
             return isExhausted ? giveUp(nowMs) : ImmutableList.of(nextWrite(nowMs));
         }
         // No caller waits any more. An unchanged row reports MAY_HAVE_RUN to others, which is safe.
@@ -211,7 +211,7 @@
     private List<ClaimAction> giveUp(long nowMs) {
         ClaimAction refusal =
                 new ClaimAction.Refuse(unavailable().retryAfterMs(policy.retryAfterMs()));
-        settle(claim.released(), nowMs);
+        settle(claimRow.released(), nowMs);
         return ImmutableList.of(refusal, nextWrite(nowMs));
     }
 
@@ -225,7 +225,7 @@
         phase = Phase.SETTLING;
         settleUntilMs = nowMs + policy.settleForMs();
         targetRow = row;
-        attempts = 0;
+        writeAttempts = 0;
     }
 
     private List<ClaimAction> close() {
@@ -235,12 +235,12 @@
 
     private ClaimAction nextWrite(long nowMs) {
         ticket++;
-        attempts++;
-        boolean urgent = phase == Phase.CLAIMING;
-        int doublings = Math.min(attempts - 2, MAX_BACKOFF_DOUBLINGS);
-        long delayMs = urgent || attempts == 1 ? 0 : policy.settleDelayMs() << doublings;
+        writeAttempts++;
+        boolean isUrgent = phase == Phase.CLAIMING;
+        int doublings = Math.min(writeAttempts - 2, MAX_BACKOFF_DOUBLINGS);
+        long delayMs = isUrgent || writeAttempts == 1 ? 0 : policy.settleDelayMs() << doublings;
         return new ClaimAction.Write(
-                new ClaimWrite(key, ticket, revision, targetRow, nowMs + delayMs, urgent));
+                new ClaimWrite(key, ticket, revision, targetRow, nowMs + delayMs, isUrgent));
     }
 
     private static MasticweirException unavailable() {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
@@ -34,7 +34,7 @@
         return Ascii.toLowerCase(name());
     }
 
-    static ClaimStatus ofWireName(String word) {
-        return valueOf(Ascii.toUpperCase(word));
+    static ClaimStatus ofWireName(String wireName) {
+        return valueOf(Ascii.toUpperCase(wireName));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimSweep.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimSweep.java
@@ -55,15 +55,15 @@
     /** Advances past {@code rows} and returns the deletion of the old ones, if any. */
     public Optional<Transaction> onPage(List<Row> rows, long wallMs) {
         Transaction.Builder t = Transaction.builder();
-        int old = 0;
+        int oldRows = 0;
         for (Row row : rows) {
             if (isOld(row, wallMs)) {
                 t.check(row.key(), row.revision()).delete(row.key());
-                old++;
+                oldRows++;
             }
         }
         nextPageAfter = rows.size() < pageRows ? "" : rows.get(rows.size() - 1).key().key();
-        return old == 0 ? Optional.empty() : Optional.of(t.build());
+        return oldRows == 0 ? Optional.empty() : Optional.of(t.build());
     }
 
     /**
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimWrite.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWrite.java
@@ -11,7 +11,7 @@
  * @param ticket number of the write within its claim; an outcome with an older ticket is stale
  * @param expectedRevision revision that the row must have
  * @param notBeforeMs earliest start time of the write
- * @param urgent whether a caller waits for it
+ * @param isUrgent whether a caller waits for it
  */
 public record ClaimWrite(
         RowKey key,
@@ -19,7 +19,7 @@
         long expectedRevision,
         ClaimRow row,
         long notBeforeMs,
-        boolean urgent) {
+        boolean isUrgent) {
     public ClaimWrite {
         checkNotNull(key, "key");
         checkArgument(expectedRevision >= 0, "expected revision %s", expectedRevision);
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimWriteRequest.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteRequest.java
@@ -15,7 +15,7 @@
  * @param row encoded row of the claimant to store in the table
  */
 record ClaimWriteRequest(
-        ClaimWriteId id, String key, long expectedRevision, boolean urgent, String row)
+        ClaimWriteId id, String key, long expectedRevision, boolean isUrgent, String row)
         implements PeerMessage {
     static final int MAX_KEY_BYTES = 1_024;
     static final int MAX_ROW_BYTES = 128 * 1_024;
@@ -34,7 +34,7 @@
                         ClaimWriteId.of(item),
                         w.key().key(),
                         w.expectedRevision(),
-                        w.urgent(),
+                        w.isUrgent(),
                         w.row().encode());
         return bytes(m.key) <= MAX_KEY_BYTES && fits(m.row) ? Optional.of(m) : Optional.empty();
     }
@@ -56,7 +56,7 @@
         RowKey rowKey = RowKey.of(ClaimRow.TABLE, key);
         return new BatchItem(
                 number,
-                new ClaimWrite(rowKey, id.ticket(), expectedRevision, decoded, nowMs, urgent));
+                new ClaimWrite(rowKey, id.ticket(), expectedRevision, decoded, nowMs, isUrgent));
     }
 
     private static int bytes(String text) {
--- a/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
@@ -30,11 +30,11 @@
     private final WriteDelegation delegation;
     private final SharedWriteLimits limits;
     private final WriterLinks links;
-    private final Supplier<? extends Collection<RouterId>> serving;
+    private final Supplier<? extends Collection<RouterId>> servingRouters;
     private final ScheduledExecutorService control;
     private final Clock clock;
-    private final BooleanSupplier isTableOutHere;
-    private final Consumer<DelegationAction> actions;
+    private final BooleanSupplier isTableUnavailable;
+    private final Consumer<DelegationAction> actionHandler;
     private Optional<RouterId> lastWriter = Optional.empty();
 
     DelegatedWrites(
@@ -49,11 +49,11 @@
         this.delegation = checkNotNull(delegation, "delegation");
         this.limits = checkNotNull(limits, "limits");
         this.links = checkNotNull(links, "links");
-        this.serving = checkNotNull(serving, "serving");
+        this.servingRouters = checkNotNull(serving, "servingRouters");
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
-        this.isTableOutHere = checkNotNull(isTableOutHere, "isTableOutHere");
-        this.actions = checkNotNull(actions, "actions");
+        this.isTableUnavailable = checkNotNull(isTableOutHere, "isTableUnavailable");
+        this.actionHandler = checkNotNull(actions, "actionHandler");
     }
 
     /**
@@ -62,7 +62,7 @@
      */
     boolean delegate(BatchItem item) {
         long now = clock.nowMs();
-        Optional<RouterId> writer = delegation.writerFor(item.write(), serving.get(), now);
+        Optional<RouterId> writer = delegation.writerFor(item.write(), servingRouters.get(), now);
         logWriterChange(writer);
         if (writer.isEmpty()) {
             return false;
@@ -88,7 +88,7 @@
 
     private void delegateDelayed(BatchItem item) {
         if (!delegate(item)) {
-            actions.accept(new DelegationAction.WriteLocally(item));
+            actionHandler.accept(new DelegationAction.WriteLocally(item));
         }
     }
 
@@ -107,7 +107,7 @@
     private void onResponse(ClaimWriteId key, ClaimWriteResponse response, Throwable error) {
         long now = clock.nowMs();
         if (error == null) {
-            applyAll(delegation.onResponse(key, response, isTableOutHere.getAsBoolean(), now));
+            applyAll(delegation.onResponse(key, response, isTableUnavailable.getAsBoolean(), now));
         } else if (isNotRun(error)) {
             applyAll(delegation.onNotSent(key, now));
         } else {
@@ -125,8 +125,8 @@
                 () -> applyAll(delegation.expire(key, clock.nowMs())), ms, TimeUnit.MILLISECONDS);
     }
 
-    private void applyAll(List<DelegationAction> todo) {
-        todo.forEach(actions);
+    private void applyAll(List<DelegationAction> newActions) {
+        newActions.forEach(actionHandler);
     }
 
     private void logWriterChange(Optional<RouterId> writer) {
--- a/masticweir/src/main/java/org/masticweir/claims/PeerWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/PeerWrites.java
@@ -19,26 +19,26 @@
  * fails its check. Not thread-safe: owned by the control thread.
  */
 final class PeerWrites {
-    private final ClaimBatcher batch;
+    private final ClaimBatcher batcher;
     private final Clock clock;
-    private final Map<Long, Reply> replies = new HashMap<>();
+    private final Map<Long, Reply> repliesByNumber = new HashMap<>();
     private long lastNumber;
 
     PeerWrites(ClaimBatcher batch, Clock clock) {
-        this.batch = checkNotNull(batch, "batch");
+        this.batcher = checkNotNull(batch, "batcher");
         this.clock = checkNotNull(clock, "clock");
     }
 
     /** Queues the write and returns true, or responds with the reason for a refusal. */
     boolean accept(ClaimWriteRequest request, Reply reply) {
         long now = clock.nowMs();
-        if (batch.isPaused(now)) {
+        if (batcher.isPaused(now)) {
             reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.NO_TABLE, 0));
             return false;
         }
-        long aheadMs = batch.urgentQueueMs();
-        if (aheadMs > SharedWriteLimits.MAX_QUEUE_MS) {
-            reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.OVERLOADED, aheadMs));
+        long queueMs = batcher.urgentQueueMs();
+        if (queueMs > SharedWriteLimits.MAX_QUEUE_MS) {
+            reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.OVERLOADED, queueMs));
             return false;
         }
         // Numbers of peer writes are negative so that they never equal those of own claims.
@@ -50,20 +50,20 @@
             reply.fail(MasticweirException.notRun(ErrorCode.INTERNAL, "claim row not readable"));
             return false;
         }
-        OptionalLong refused = batch.offer(item, now);
-        if (refused.isPresent()) {
-            long afterMs = refused.getAsLong();
+        OptionalLong retryAfterMs = batcher.offer(item, now);
+        if (retryAfterMs.isPresent()) {
+            long afterMs = retryAfterMs.getAsLong();
             reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.OVERLOADED, afterMs));
             return false;
         }
         lastNumber = number;
-        replies.put(number, reply);
+        repliesByNumber.put(number, reply);
         return true;
     }
 
     /** Forwards the outcome of a peer's write; returns false if the write is not a peer's. */
     boolean respond(BatchEvent event) {
-        Reply reply = replies.remove(event.claim());
+        Reply reply = repliesByNumber.remove(event.claim());
         if (reply == null) {
             return false;
         }
--- a/masticweir/src/main/java/org/masticweir/claims/WriteBudget.java
+++ b/masticweir/src/main/java/org/masticweir/claims/WriteBudget.java
@@ -4,13 +4,13 @@
 final class WriteBudget {
     private static final double MS_PER_SECOND = 1_000;
 
-    private final double perMs;
+    private final double tokensPerMs;
     private final double burst;
     private double tokens;
     private long filledAtMs;
 
     WriteBudget(double perSecond, double burst, long nowMs) {
-        this.perMs = perSecond / MS_PER_SECOND;
+        this.tokensPerMs = perSecond / MS_PER_SECOND;
         this.burst = burst;
         tokens = burst;
         filledAtMs = nowMs;
@@ -28,16 +28,16 @@
     /** Returns the time at which a token is available if none is spent before. */
     long nextTokenMs(long nowMs) {
         fill(nowMs);
-        return tokens >= 1 ? nowMs : nowMs + (long) Math.ceil((1 - tokens) / perMs);
+        return tokens >= 1 ? nowMs : nowMs + (long) Math.ceil((1 - tokens) / tokensPerMs);
     }
 
     /** Returns how long {@code writes} more transactions take. */
     long durationMs(long writes) {
-        return (long) Math.ceil(writes / perMs);
+        return (long) Math.ceil(writes / tokensPerMs);
     }
 
     private void fill(long nowMs) {
-        tokens = Math.min(burst, tokens + Math.max(0, nowMs - filledAtMs) * perMs);
+        tokens = Math.min(burst, tokens + Math.max(0, nowMs - filledAtMs) * tokensPerMs);
         filledAtMs = Math.max(filledAtMs, nowMs);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/claims/WriteDelegation.java
+++ b/masticweir/src/main/java/org/masticweir/claims/WriteDelegation.java
@@ -26,18 +26,19 @@
  */
 final class WriteDelegation {
     /** Common hash key, so that all routers select the same writer. */
-    private static final String RANKED_BY = "claims";
+    private static final String RENDEZVOUS_KEY = "claims";
 
     private static final int MAX_DOUBLINGS = 3;
 
     /** A delegated write, whether the writer accepted it, and the time at which it expires. */
-    private record PendingWrite(BatchItem item, RouterId writer, boolean isAccepted, long untilMs) {
+    private record PendingWrite(
+            BatchItem item, RouterId writer, boolean isAccepted, long expiresAtMs) {
         /**
          * Returns whether the write is delayed by load: a busy writer postpones rows that no caller
          * waits for, which does not indicate a failure of the writer.
          */
         boolean isDelayedByLoad() {
-            return isAccepted && !item.write().urgent();
+            return isAccepted && !item.write().isUrgent();
         }
     }
 
@@ -46,8 +47,8 @@
 
     private final RouterId self;
     private final SharedWriteLimits limits;
-    private final Map<ClaimWriteId, PendingWrite> pending = new HashMap<>();
-    private final Map<RouterId, ExcludedWriter> excluded = new HashMap<>();
+    private final Map<ClaimWriteId, PendingWrite> pendingWrites = new HashMap<>();
+    private final Map<RouterId, ExcludedWriter> excludedWriters = new HashMap<>();
 
     WriteDelegation(RouterId self, SharedWriteLimits limits) {
         this.self = checkNotNull(self, "self");
@@ -63,27 +64,28 @@
      * @param serving serving routers of the domain, including this one if it serves
      */
     Optional<RouterId> writerFor(ClaimWrite write, Collection<RouterId> serving, long nowMs) {
-        boolean isRepeat = write.urgent() && write.ticket() > 1;
-        if (serving.size() <= limits.shareAbove() || isRepeat) {
+        boolean isRetry = write.isUrgent() && write.ticket() > 1;
+        if (serving.size() <= limits.shareAbove() || isRetry) {
             return Optional.empty();
         }
-        excluded.keySet().retainAll(serving);
+        excludedWriters.keySet().retainAll(serving);
         return serving.stream()
                 .filter(r -> !isExcluded(r, nowMs))
-                .max(comparingLong(r -> Rendezvous.weight(RANKED_BY, r)))
+                .max(comparingLong(r -> Rendezvous.weight(RENDEZVOUS_KEY, r)))
                 .filter(r -> !r.equals(self));
     }
 
     /** Records that {@code item} was sent to {@code writer}. */
     ClaimWriteId addPending(BatchItem item, RouterId writer, long nowMs) {
         ClaimWriteId key = ClaimWriteId.of(item);
-        pending.put(key, new PendingWrite(item, writer, false, nowMs + limits.acceptWaitMs()));
+        pendingWrites.put(
+                key, new PendingWrite(item, writer, false, nowMs + limits.acceptWaitMs()));
         return key;
     }
 
     /** Records that the writer queued the write. */
     void markAccepted(ClaimWriteId key, long nowMs) {
-        pending.computeIfPresent(
+        pendingWrites.computeIfPresent(
                 key,
                 (k, w) -> new PendingWrite(w.item, w.writer, true, nowMs + limits.outcomeWaitMs()));
     }
@@ -91,18 +93,18 @@
     /**
      * Handles the writer's response.
      *
-     * @param tableOutHere whether this router can't reach the table either, so that the failure is
-     *     not attributed to the writer
+     * @param isTableUnavailable whether this router can't reach the table either, so that the
+     *     failure is not attributed to the writer
      */
     List<DelegationAction> onResponse(
-            ClaimWriteId key, ClaimWriteResponse response, boolean isTableOutHere, long nowMs) {
-        PendingWrite w = pending.remove(key);
+            ClaimWriteId key, ClaimWriteResponse response, boolean isTableUnavailable, long nowMs) {
+        PendingWrite w = pendingWrites.remove(key);
         if (w == null) {
             return ImmutableList.of();
         }
         boolean hasReachedTable = true;
         switch (response.kind()) {
-            case COMMITTED, CONFLICTED -> excluded.remove(w.writer);
+            case COMMITTED, CONFLICTED -> excludedWriters.remove(w.writer);
             case UNKNOWN, NO_TABLE -> hasReachedTable = false;
             default -> {}
         }
@@ -110,14 +112,14 @@
                 response.kind() == ClaimWriteResponse.Kind.NO_TABLE
                         ? new DelegationAction.WriteLocally(w.item)
                         : report(w, response.toEvent(key.ticket(), w.item.write().key()));
-        return hasReachedTable || isTableOutHere
+        return hasReachedTable || isTableUnavailable
                 ? ImmutableList.of(outcome)
                 : excludeWriter(w.writer, outcome, nowMs);
     }
 
     /** Handles a write request that did not reach the writer or could not be decoded there. */
     List<DelegationAction> onNotSent(ClaimWriteId key, long nowMs) {
-        PendingWrite w = pending.remove(key);
+        PendingWrite w = pendingWrites.remove(key);
         if (w == null) {
             return ImmutableList.of();
         }
@@ -126,7 +128,7 @@
 
     /** Handles the loss of the link to the writer; the outcome of the write is unknown. */
     List<DelegationAction> onLinkLost(ClaimWriteId key, long nowMs) {
-        PendingWrite w = pending.remove(key);
+        PendingWrite w = pendingWrites.remove(key);
         return w == null ? ImmutableList.of() : excludeWriter(w.writer, reportUnknown(w), nowMs);
     }
 
@@ -138,18 +140,18 @@
      * of the table, and the claim writes it again with the same nonce.
      */
     List<DelegationAction> expire(ClaimWriteId key, long nowMs) {
-        PendingWrite w = pending.get(key);
-        if (w == null || nowMs < w.untilMs) {
+        PendingWrite w = pendingWrites.get(key);
+        if (w == null || nowMs < w.expiresAtMs) {
             return ImmutableList.of();
         }
-        pending.remove(key);
+        pendingWrites.remove(key);
         return w.isDelayedByLoad()
                 ? ImmutableList.of(reportUnknown(w))
                 : excludeWriter(w.writer, reportUnknown(w), nowMs);
     }
 
     boolean isExcluded(RouterId writer, long nowMs) {
-        ExcludedWriter a = excluded.get(writer);
+        ExcludedWriter a = excludedWriters.get(writer);
         return a != null && nowMs < a.untilMs;
     }
 
@@ -166,9 +168,9 @@
         exclude(writer, nowMs);
         ImmutableList.Builder<DelegationAction> actions = ImmutableList.builder();
         actions.add(first);
-        for (PendingWrite w : ImmutableList.copyOf(pending.values())) {
-            if (w.writer.equals(writer) && w.item.write().urgent()) {
-                pending.remove(ClaimWriteId.of(w.item));
+        for (PendingWrite w : ImmutableList.copyOf(pendingWrites.values())) {
+            if (w.writer.equals(writer) && w.item.write().isUrgent()) {
+                pendingWrites.remove(ClaimWriteId.of(w.item));
                 actions.add(reportUnknown(w));
             }
         }
@@ -191,8 +193,9 @@
         if (isExcluded(writer, nowMs)) {
             return;
         }
-        int failures = excluded.containsKey(writer) ? excluded.get(writer).failures : 0;
+        int failures =
+                excludedWriters.containsKey(writer) ? excludedWriters.get(writer).failures : 0;
         long forMs = limits.excludeMs() << Math.min(failures, MAX_DOUBLINGS);
-        excluded.put(writer, new ExcludedWriter(nowMs + forMs, failures + 1));
+        excludedWriters.put(writer, new ExcludedWriter(nowMs + forMs, failures + 1));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
@@ -50,12 +50,12 @@
 
     private final CapacitySource capacity;
     private final TeamWeights teamWeights;
-    private final ToIntFunction<ModelId> waitingRecoveries;
+    private final ToIntFunction<ModelId> waitingRecoveryCount;
     private final RandomGenerator random;
     private final LimitSettings settings;
     private final Map<ModelKey, ModelQueue> queues = new HashMap<>();
-    private final Map<RequestId, AdmissionRequest> queued = new HashMap<>();
-    private final Map<RequestId, Running> running = new HashMap<>();
+    private final Map<RequestId, AdmissionRequest> queuedRequests = new HashMap<>();
+    private final Map<RequestId, RunningRequest> runningRequests = new HashMap<>();
 
     private AdmissionController(
             CapacitySource capacity,
@@ -65,7 +65,7 @@
             LimitSettings settings) {
         this.capacity = checkNotNull(capacity, "capacity");
         this.teamWeights = checkNotNull(teamWeights, "teamWeights");
-        this.waitingRecoveries = checkNotNull(waitingRecoveries, "waitingRecoveries");
+        this.waitingRecoveryCount = checkNotNull(waitingRecoveries, "waitingRecoveryCount");
         this.random = checkNotNull(random, "random");
         this.settings = checkNotNull(settings, "settings");
     }
@@ -74,25 +74,27 @@
      * Returns a controller that has admitted nothing yet.
      *
      * @param teamWeights weights of the teams, for example {@link TeamShares}
-     * @param waitingRecoveries number of waiting recoveries of a model, which take precedence over
-     *     new requests, for example {@link RecoveryAdmissionController#waitingCount}
+     * @param waitingRecoveryCount number of waiting recoveries of a model, which take precedence
+     *     over new requests, for example {@link RecoveryAdmissionController#waitingCount}
      */
     public static AdmissionController create(
             CapacitySource capacity,
             TeamWeights teamWeights,
-            ToIntFunction<ModelId> waitingRecoveries,
+            ToIntFunction<ModelId> waitingRecoveryCount,
             RandomGenerator random,
             LimitSettings settings) {
-        return new AdmissionController(capacity, teamWeights, waitingRecoveries, random, settings);
+        return new AdmissionController(
+                capacity, teamWeights, waitingRecoveryCount, random, settings);
     }
 
     /** Returns a controller with the default settings. */
     public static AdmissionController create(
             CapacitySource capacity,
             TeamWeights teamWeights,
-            ToIntFunction<ModelId> waitingRecoveries,
+            ToIntFunction<ModelId> waitingRecoveryCount,
             RandomGenerator random) {
-        return create(capacity, teamWeights, waitingRecoveries, random, LimitSettings.defaults());
+        return create(
+                capacity, teamWeights, waitingRecoveryCount, random, LimitSettings.defaults());
     }
 
     /** Decides on {@code r}. It is an error to offer a request again that has not finished. */
@@ -100,7 +102,7 @@
         checkNotNull(r, "r");
         checkArgument(!isTracked(r.id()), "request %s offered twice", r.id());
         Capacity c = capacity.capacityOf(r.model(), r.version(), nowMs);
-        ModelQueue queue = queue(r);
+        ModelQueue queue = queueOf(r);
         queue.recordArrival(r, c, nowMs);
         boolean admitNow = queue.canAdmitNow(r, c, reservedSlots(r));
         Prediction p = queue.predict(r, c, nowMs);
@@ -114,7 +116,7 @@
             return admit(r, queue, nowMs);
         }
         queue.add(r, nowMs);
-        queued.put(r.id(), r);
+        queuedRequests.put(r.id(), r);
         return new Queued(r.id(), Math.round(p.waitMs()));
     }
 
@@ -123,22 +125,22 @@
      * well.
      */
     public synchronized void recordSend(RequestId id) {
-        Running run = running.get(checkNotNull(id, "id"));
+        RunningRequest run = runningRequests.get(checkNotNull(id, "id"));
         if (run != null && !run.isSent) {
             run.isSent = true;
-            queue(run.request).load().markSent();
+            queueOf(run.request).load().markSent();
         }
     }
 
     /** Removes request {@code id}, which has ended or was cancelled, admitted or still queued. */
     public synchronized void recordEnd(RequestId id, long nowMs) {
-        AdmissionRequest waiting = queued.remove(checkNotNull(id, "id"));
-        if (waiting != null) {
-            queue(waiting).remove(waiting);
+        AdmissionRequest queuedRequest = queuedRequests.remove(checkNotNull(id, "id"));
+        if (queuedRequest != null) {
+            queueOf(queuedRequest).remove(queuedRequest);
         }
-        Running run = running.remove(id);
+        RunningRequest run = runningRequests.remove(id);
         if (run != null) {
-            queue(run.request).markFinished(run.request, run.isSent, nowMs - run.admittedAtMs);
+            queueOf(run.request).markFinished(run.request, run.isSent, nowMs - run.admittedAtMs);
         }
     }
 
@@ -150,13 +152,13 @@
         ImmutableList.Builder<AdmissionDecision> decisions = ImmutableList.builder();
         queues.forEach((key, queue) -> tick(key, queue, nowMs, decisions));
         queues.values()
-                .removeIf(q -> q.size() == 0 && q.load().running() == 0 && hasTooManyQueues());
+                .removeIf(q -> q.size() == 0 && q.load().runningCount() == 0 && hasTooManyQueues());
         return decisions.build();
     }
 
     /** Returns the numbers of queued and running requests. */
     public synchronized AdmissionStatus status() {
-        return new AdmissionStatus(queued.size(), running.size());
+        return new AdmissionStatus(queuedRequests.size(), runningRequests.size());
     }
 
     private void tick(
@@ -168,7 +170,7 @@
             return;
         }
         Capacity c = capacity.capacityOf(key.model(), key.version(), nowMs);
-        int reserved = waitingRecoveries.applyAsInt(key.model());
+        int reserved = waitingRecoveryCount.applyAsInt(key.model());
         List<AdmissionRequest> late = new ArrayList<>();
         Optional<AdmissionRequest> next = queue.next(c, reserved);
         while (next.isPresent()) {
@@ -178,14 +180,14 @@
                 late.add(r);
             } else {
                 queue.serve(r, c, nowMs);
-                queued.remove(r.id());
+                queuedRequests.remove(r.id());
                 decisions.add(admit(r, queue, nowMs));
             }
             next = queue.next(c, reserved);
         }
         queue.removeLate(c, nowMs, late);
         for (AdmissionRequest r : late) {
-            queued.remove(r.id());
+            queuedRequests.remove(r.id());
             Prediction p = queue.predict(r, c, nowMs);
             decisions.add(refuse(r, lateErrorCode(c), p, c, queue, nowMs));
         }
@@ -193,17 +195,17 @@
 
     private Optional<ErrorCode> findRefusal(
             AdmissionRequest r, boolean isLate, Capacity c, ModelQueue queue) {
-        if (c.engines() == 0 || (settings.predictedRefusal() && isLate)) {
+        if (c.engines() == 0 || (settings.hasPredictedRefusal() && isLate)) {
             return Optional.of(lateErrorCode(c));
         }
-        int max = settings.maxQueued();
-        if (settings.fairShares()
-                && queue.size(r.team()) >= Math.max(1, max / TEAM_QUEUE_DIVISOR)) {
+        int maxQueued = settings.maxQueued();
+        if (settings.hasFairShares()
+                && queue.size(r.team()) >= Math.max(1, maxQueued / TEAM_QUEUE_DIVISOR)) {
             return Optional.of(ErrorCode.OVER_LIMIT);
         }
-        boolean isIdle = settings.fairShares() && queue.size(r.team()) == 0;
-        int limit = isIdle ? max + RESERVED_FOR_IDLE_TEAMS : max;
-        boolean isFull = queued.size() >= limit || running.size() >= MAX_RUNNING;
+        boolean isTeamIdle = settings.hasFairShares() && queue.size(r.team()) == 0;
+        int limit = isTeamIdle ? maxQueued + RESERVED_FOR_IDLE_TEAMS : maxQueued;
+        boolean isFull = queuedRequests.size() >= limit || runningRequests.size() >= MAX_RUNNING;
         return isFull ? Optional.of(ErrorCode.OVERLOADED) : Optional.empty();
     }
 
@@ -212,7 +214,7 @@
     }
 
     private Admitted admit(AdmissionRequest r, ModelQueue queue, long nowMs) {
-        running.put(r.id(), new Running(r, nowMs));
+        runningRequests.put(r.id(), new RunningRequest(r, nowMs));
         queue.load().markAdmitted();
         return new Admitted(r.id());
     }
@@ -229,7 +231,7 @@
     }
 
     private boolean isTracked(RequestId id) {
-        return queued.containsKey(id) || running.containsKey(id);
+        return queuedRequests.containsKey(id) || runningRequests.containsKey(id);
     }
 
     private boolean hasTooManyQueues() {
@@ -237,22 +239,22 @@
     }
 
     private int reservedSlots(AdmissionRequest r) {
-        return waitingRecoveries.applyAsInt(r.model());
+        return waitingRecoveryCount.applyAsInt(r.model());
     }
 
-    private ModelQueue queue(AdmissionRequest r) {
+    private ModelQueue queueOf(AdmissionRequest r) {
         return queues.computeIfAbsent(
                 new ModelKey(r.model(), r.version()),
                 k -> new ModelQueue(teamWeights, new RetrySchedule(random), settings));
     }
 
     /** An admitted request. */
-    private static final class Running {
+    private static final class RunningRequest {
         private final AdmissionRequest request;
         private final long admittedAtMs;
         private boolean isSent;
 
-        Running(AdmissionRequest request, long admittedAtMs) {
+        RunningRequest(AdmissionRequest request, long admittedAtMs) {
             this.request = request;
             this.admittedAtMs = admittedAtMs;
         }
--- a/masticweir/src/main/java/org/masticweir/limits/ClassQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ClassQueue.java
@@ -24,7 +24,7 @@
 
     private final ToDoubleFunction<TeamId> weight;
     private final LimitSettings settings;
-    private final Map<TeamId, TeamQueue> teams = new LinkedHashMap<>();
+    private final Map<TeamId, TeamQueue> queuesByTeam = new LinkedHashMap<>();
 
     /**
      * Virtual times of teams without requests, kept while they are ahead of {@link #virtualTime}.
@@ -39,7 +39,7 @@
     private int rotationStart;
 
     ClassQueue(ToDoubleFunction<TeamId> weight, LimitSettings settings) {
-        this.weight = settings.fairShares() ? weight : team -> 1;
+        this.weight = settings.hasFairShares() ? weight : team -> 1;
         this.settings = settings;
     }
 
@@ -47,18 +47,18 @@
         if (size == 0) {
             headWait.startWait(nowMs);
         }
-        teams.computeIfAbsent(queueKey(r.team()), this::newTeam).add(r);
+        queuesByTeam.computeIfAbsent(queueKey(r.team()), this::newTeam).add(r);
         size++;
     }
 
     boolean remove(AdmissionRequest r) {
-        TeamQueue team = teams.get(queueKey(r.team()));
+        TeamQueue team = queuesByTeam.get(queueKey(r.team()));
         if (team == null || !team.remove(r)) {
             return false;
         }
         size--;
         if (team.isEmpty()) {
-            teams.remove(queueKey(r.team()));
+            queuesByTeam.remove(queueKey(r.team()));
             storeIdleTeam(queueKey(r.team()), team.servedPerWeight());
         }
         return true;
@@ -66,7 +66,7 @@
 
     /** Returns the next request among those for which {@code isAdmissible} holds, if any. */
     Optional<AdmissionRequest> next(Predicate<AdmissionRequest> isAdmissible) {
-        return teams.values().stream()
+        return queuesByTeam.values().stream()
                 .filter(t -> isAdmissible.test(t.first()))
                 .min(comparingDouble(TeamQueue::servedPerWeight))
                 .map(TeamQueue::first);
@@ -74,7 +74,7 @@
 
     /** Removes {@code r} and charges its team. */
     void serve(AdmissionRequest r, long nowMs) {
-        TeamQueue team = teams.get(queueKey(r.team()));
+        TeamQueue team = queuesByTeam.get(queueKey(r.team()));
         virtualTime = Math.max(virtualTime, team.servedPerWeight());
         team.charge(r.maxTotalTokens() / weight.applyAsDouble(r.team()));
         remove(r);
@@ -91,8 +91,8 @@
     }
 
     /** Raises the virtual time of a class that was idle to at least {@code level}. */
-    void advanceTo(double level) {
-        servedSlotMs = Math.max(servedSlotMs, level);
+    void advanceTo(double minVirtualTime) {
+        servedSlotMs = Math.max(servedSlotMs, minVirtualTime);
     }
 
     HoldTimeEstimate holdTime() {
@@ -116,7 +116,7 @@
         double perRequest = r.maxTotalTokens() / weight.applyAsDouble(r.team());
         double startTime = virtualTimeOf(queueKey(r.team())) + ownAhead * perRequest;
         double ahead = ownAhead;
-        for (Map.Entry<TeamId, TeamQueue> e : teams.entrySet()) {
+        for (Map.Entry<TeamId, TeamQueue> e : queuesByTeam.entrySet()) {
             double lead = startTime - e.getValue().servedPerWeight();
             if (!e.getKey().equals(queueKey(r.team())) && lead >= 0) {
                 int tokens = e.getValue().first().maxTotalTokens();
@@ -131,7 +131,7 @@
      * Returns the virtual time of {@code team}, or the one it would get if it queued a request now.
      */
     private double virtualTimeOf(TeamId team) {
-        TeamQueue queue = teams.get(team);
+        TeamQueue queue = queuesByTeam.get(team);
         return queue != null
                 ? queue.servedPerWeight()
                 : Math.max(virtualTime, idleVirtualTimes.getOrDefault(team, virtualTime));
@@ -142,12 +142,12 @@
     }
 
     int size(TeamId team) {
-        TeamQueue q = teams.get(queueKey(team));
+        TeamQueue q = queuesByTeam.get(queueKey(team));
         return q == null ? 0 : q.size();
     }
 
     ImmutableList<TeamId> waitingTeams() {
-        return ImmutableList.copyOf(teams.keySet());
+        return ImmutableList.copyOf(queuesByTeam.keySet());
     }
 
     /**
@@ -167,17 +167,17 @@
     }
 
     TeamQueue team(TeamId team) {
-        return teams.get(team);
+        return queuesByTeam.get(team);
     }
 
     private TeamId queueKey(TeamId team) {
-        return settings.fairShares() ? team : ALL_TEAMS;
+        return settings.hasFairShares() ? team : ALL_TEAMS;
     }
 
     private TeamQueue newTeam(TeamId team) {
-        double level = virtualTimeOf(team);
+        double startTime = virtualTimeOf(team);
         idleVirtualTimes.remove(team);
-        return new TeamQueue(level, settings.classShares());
+        return new TeamQueue(startTime, settings.hasClassShares());
     }
 
     /**
--- a/masticweir/src/main/java/org/masticweir/limits/LatencySensitiveClasses.java
+++ b/masticweir/src/main/java/org/masticweir/limits/LatencySensitiveClasses.java
@@ -32,7 +32,7 @@
     private final ModelLoad load;
     private final LimitSettings settings;
     private long lastArrivalMs;
-    private boolean isActive;
+    private boolean hasRecentArrival;
 
     LatencySensitiveClasses(ModelLoad load, LimitSettings settings) {
         this.load = load;
@@ -43,9 +43,9 @@
     void recordArrival(AdmissionRequest r, ClassQueue q, Capacity capacity, long nowMs) {
         if (isLatencySensitive(r, q, capacity)) {
             lastArrivalMs = nowMs;
-            isActive = true;
+            hasRecentArrival = true;
         } else if (nowMs - lastArrivalMs >= HEADROOM_RETENTION_MS) {
-            isActive = false;
+            hasRecentArrival = false;
         }
     }
 
@@ -61,12 +61,12 @@
     double extraSlots(
             AdmissionRequest r, ClassQueue q, Capacity capacity, boolean isTeamOverShare) {
         if (isLatencySensitive(r, q, capacity)) {
-            return Math.floor(settings.overcommitShare() * capacity.reachableSlots());
+            return Math.floor(settings.overcommitFraction() * capacity.reachableSlots());
         }
         double share =
                 Math.max(
-                        isActive ? settings.headroomShare() : 0,
-                        isTeamOverShare ? settings.teamHeadroomShare() : 0);
+                        hasRecentArrival ? settings.headroomFraction() : 0,
+                        isTeamOverShare ? settings.teamHeadroomFraction() : 0);
         return -Math.floor(share * capacity.reachableSlots());
     }
 
--- a/masticweir/src/main/java/org/masticweir/limits/LimitSettings.java
+++ b/masticweir/src/main/java/org/masticweir/limits/LimitSettings.java
@@ -31,27 +31,27 @@
      * Returns whether classes get equal shares of slot time; otherwise requests are served in order
      * of arrival.
      */
-    boolean classShares() {
+    boolean hasClassShares() {
         return settings.classShares();
     }
 
     /** Returns whether queued requests that would be late are refused. */
-    boolean queueDeadlines() {
+    boolean hasQueueDeadlines() {
         return settings.queueDeadlines();
     }
 
     /** Returns whether the teams of a class are served by weight and each has a queue limit. */
-    boolean fairShares() {
+    boolean hasFairShares() {
         return settings.fairShares();
     }
 
     /** Returns whether a request that is predicted to be late is refused on arrival. */
-    boolean predictedRefusal() {
+    boolean hasPredictedRefusal() {
         return settings.predictedRefusal();
     }
 
     /** Returns whether the number of recoveries that start at a time is limited. */
-    boolean recoveryAdmission() {
+    boolean hasRecoveryAdmission() {
         return settings.recoveryAdmission();
     }
 
@@ -61,18 +61,18 @@
     }
 
     /** Returns the share of the slots that is reserved for latency-sensitive classes. */
-    double headroomShare() {
-        return classShares() ? settings.headroomPercent() / PERCENT : 0;
+    double headroomFraction() {
+        return hasClassShares() ? settings.headroomPercent() / PERCENT : 0;
     }
 
     /** Returns the share of the slots that teams above their fair share leave free for others. */
-    double teamHeadroomShare() {
-        return fairShares() ? settings.headroomPercent() / PERCENT : 0;
+    double teamHeadroomFraction() {
+        return hasFairShares() ? settings.headroomPercent() / PERCENT : 0;
     }
 
     /** Returns the share of the slots that latency-sensitive classes may send beyond all slots. */
-    double overcommitShare() {
-        return classShares() ? settings.overcommitPercent() / PERCENT : 0;
+    double overcommitFraction() {
+        return hasClassShares() ? settings.overcommitPercent() / PERCENT : 0;
     }
 
     /** Returns the multiple of its even share of the free slots that a router may fill. */
@@ -81,7 +81,7 @@
     }
 
     /** Returns the share of the router's slots on which recoveries may start at a time. */
-    double recoveryShare() {
+    double recoveryFraction() {
         return settings.recoverySharePercent() / PERCENT;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/limits/ModelLoad.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelLoad.java
@@ -2,35 +2,35 @@
 
 /** This router's own requests to one model version; not thread-safe. */
 final class ModelLoad {
-    private int running;
-    private int notYetSent;
+    private int runningCount;
+    private int unsentCount;
     private final HoldTimeEstimate holdTime = new HoldTimeEstimate();
 
     void markAdmitted() {
-        running++;
-        notYetSent++;
+        runningCount++;
+        unsentCount++;
     }
 
     void markSent() {
-        notYetSent--;
+        unsentCount--;
     }
 
     void markFinished(boolean wasSent, long heldMs) {
-        running--;
+        runningCount--;
         if (wasSent) {
             holdTime.add(heldMs);
         } else {
-            notYetSent--;
+            unsentCount--;
         }
     }
 
-    int running() {
-        return running;
+    int runningCount() {
+        return runningCount;
     }
 
     /** Returns the number of admitted requests that the capacity source does not count yet. */
-    int notYetSent() {
-        return notYetSent;
+    int unsentCount() {
+        return unsentCount;
     }
 
     /** Returns the statistics on how long requests occupied their slots. */
--- a/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
@@ -31,7 +31,7 @@
     private static final int MAX_PREDICTED_TEAMS_PER_TICK = 64;
 
     private final TeamWeights teamWeights;
-    private final Map<WorkClassId, ClassQueue> classes = new LinkedHashMap<>();
+    private final Map<WorkClassId, ClassQueue> queuesByClass = new LinkedHashMap<>();
     private final ModelLoad load = new ModelLoad();
     private final RetrySchedule retries;
     private final LimitSettings settings;
@@ -83,11 +83,11 @@
     }
 
     int size() {
-        return classes.values().stream().mapToInt(ClassQueue::size).sum();
+        return queuesByClass.values().stream().mapToInt(ClassQueue::size).sum();
     }
 
     int size(TeamId team) {
-        return classes.values().stream().mapToInt(q -> q.size(team)).sum();
+        return queuesByClass.values().stream().mapToInt(q -> q.size(team)).sum();
     }
 
     /** Returns whether {@code r} may be admitted at once, before all queued requests. */
@@ -95,7 +95,7 @@
         ClassQueue own = queue(r);
         double startTime = Math.max(virtualTime, own.servedSlotMs());
         int ahead =
-                classes.values().stream()
+                queuesByClass.values().stream()
                         .filter(q -> q == own || q.servedSlotMs() <= startTime)
                         .filter(q -> q.next(x -> hasSlot(x, capacity, reserved)).isPresent())
                         .mapToInt(ClassQueue::size)
@@ -112,7 +112,7 @@
 
     /** Returns the next request for which a slot is free, if any. */
     Optional<AdmissionRequest> next(Capacity capacity, int reserved) {
-        return classes.values().stream()
+        return queuesByClass.values().stream()
                 .flatMap(q -> q.next(r -> hasSlot(r, capacity, reserved)).stream())
                 .min(
                         comparingDouble((AdmissionRequest r) -> queue(r).servedSlotMs())
@@ -146,17 +146,17 @@
     }
 
     private Prediction predict(AdmissionRequest r, double waits, Capacity capacity, long nowMs) {
-        double slots = Math.max(capacity.fairShareSlots(), load.running());
+        double slots = Math.max(capacity.fairShareSlots(), load.runningCount());
         double headWaitMs = queue(r).headWaitMs(holdMs(capacity) / slots, nowMs);
         return Prediction.of(r, waits * headWaitMs, capacity, holdMs(capacity));
     }
 
     /** Returns whether {@code r} would be late even if it were sent now. */
     boolean isTooLate(AdmissionRequest r, Capacity capacity, long nowMs) {
-        if (!settings.queueDeadlines()) {
+        if (!settings.hasQueueDeadlines()) {
             return false;
         }
-        return settings.predictedRefusal()
+        return settings.hasPredictedRefusal()
                 ? !Prediction.of(r, 0, capacity, holdMs(capacity)).meetsTargets(r, nowMs)
                 : nowMs >= r.firstTokenDueMs();
     }
@@ -169,14 +169,14 @@
      * of teams, in rotation; requests that would be late even if sent now are found in every tick.
      */
     void removeLate(Capacity capacity, long nowMs, List<AdmissionRequest> late) {
-        if (!settings.queueDeadlines()) {
+        if (!settings.hasQueueDeadlines()) {
             return;
         }
-        for (ClassQueue q : classes.values()) {
+        for (ClassQueue q : queuesByClass.values()) {
             for (TeamId team : q.waitingTeams()) {
                 removeTooLate(q, team, capacity, nowMs, late);
             }
-            if (settings.predictedRefusal()) {
+            if (settings.hasPredictedRefusal()) {
                 q.nextTeams(MAX_PREDICTED_TEAMS_PER_TICK)
                         .forEach(team -> removeLate(q, team, capacity, nowMs, late));
             }
@@ -208,11 +208,11 @@
         for (TeamQueue team = q.team(id); team != null; team = q.team(id)) {
             AdmissionRequest first = team.first();
             AdmissionRequest last = team.last();
-            int before = team.size() - 1;
+            int requestsBefore = team.size() - 1;
             if (isLate(first, 0, capacity, nowMs)) {
                 q.remove(first);
                 late.add(first);
-            } else if (isLate(last, before, capacity, nowMs)) {
+            } else if (isLate(last, requestsBefore, capacity, nowMs)) {
                 q.remove(last);
                 late.add(last);
             } else {
@@ -221,8 +221,8 @@
         }
     }
 
-    private boolean isLate(AdmissionRequest r, int before, Capacity capacity, long nowMs) {
-        double waits = queue(r).requestsAhead(r, before) + REMAINING_WAIT_SHARE;
+    private boolean isLate(AdmissionRequest r, int requestsBefore, Capacity capacity, long nowMs) {
+        double waits = queue(r).requestsAhead(r, requestsBefore) + REMAINING_WAIT_SHARE;
         return !predict(r, waits, capacity, nowMs).meetsTargets(r, nowMs);
     }
 
@@ -235,7 +235,7 @@
         double extra =
                 latencySensitive.extraSlots(
                         r, queue(r), capacity, teamWeights.isOverShare(r.team()));
-        return capacity.freeSlots() + extra - load.notYetSent() - reserved;
+        return capacity.freeSlots() + extra - load.unsentCount() - reserved;
     }
 
     private double holdMs(Capacity capacity) {
@@ -243,7 +243,8 @@
     }
 
     private ClassQueue queue(AdmissionRequest r) {
-        WorkClassId id = settings.classShares() ? r.workClass().id() : ALL_CLASSES;
-        return classes.computeIfAbsent(id, k -> new ClassQueue(teamWeights::weight, settings));
+        WorkClassId id = settings.hasClassShares() ? r.workClass().id() : ALL_CLASSES;
+        return queuesByClass.computeIfAbsent(
+                id, k -> new ClassQueue(teamWeights::weight, settings));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/limits/RecoveryAdmissionController.java
+++ b/masticweir/src/main/java/org/masticweir/limits/RecoveryAdmissionController.java
@@ -41,13 +41,13 @@
 
     private final CapacitySource capacity;
     private final LimitSettings settings;
-    private final NavigableSet<RecoveryRequest> waitingCount =
+    private final NavigableSet<RecoveryRequest> waitingByPriority =
             new TreeSet<>(
                     comparingInt((RecoveryRequest r) -> r.workClass().firstTokenMs())
                             .thenComparing(comparingLong(RecoveryRequest::dueMs))
                             .thenComparing(comparing(r -> r.generation().toString())));
     private final Map<GenerationId, RecoveryRequest> waitingByGeneration = new LinkedHashMap<>();
-    private final Map<GenerationId, Starting> starting = new LinkedHashMap<>();
+    private final Map<GenerationId, StartingRecovery> startingByGeneration = new LinkedHashMap<>();
 
     private RecoveryAdmissionController(CapacitySource capacity, LimitSettings settings) {
         this.capacity = checkNotNull(capacity, "capacity");
@@ -71,38 +71,38 @@
         if (nowMs >= r.dueMs()) {
             return new GiveUp(r.generation(), ErrorCode.DEADLINE_EXCEEDED);
         }
-        if (waitingCount.size() >= MAX_WAITING) {
+        if (waitingByPriority.size() >= MAX_WAITING) {
             return new GiveUp(r.generation(), ErrorCode.ENGINE_LOST);
         }
         int limit = limit(new ModelKey(r.model(), r.version()), nowMs);
         if (waitingCount(r.model()) == 0 && startingCount(r.model()) < limit) {
             return start(r, nowMs);
         }
-        waitingCount.add(r);
+        waitingByPriority.add(r);
         waitingByGeneration.put(r.generation(), r);
         return new Wait(r.generation());
     }
 
     /** Marks a recovery as resumed: its first new token has arrived. */
     public synchronized void recordResume(GenerationId generation) {
-        starting.remove(checkNotNull(generation, "generation"));
+        startingByGeneration.remove(checkNotNull(generation, "generation"));
     }
 
     /** Removes a generation that needs no recovery any more, whatever its state. */
     public synchronized void recordEnd(GenerationId generation) {
-        starting.remove(checkNotNull(generation, "generation"));
+        startingByGeneration.remove(checkNotNull(generation, "generation"));
         RecoveryRequest r = waitingByGeneration.remove(generation);
         if (r != null) {
-            waitingCount.remove(r);
+            waitingByPriority.remove(r);
         }
     }
 
     /** Decides on the waiting recoveries. */
     public synchronized ImmutableList<RecoveryDecision> tick(long nowMs) {
-        starting.values().removeIf(s -> nowMs - s.sinceMs >= START_TIMEOUT_MS);
+        startingByGeneration.values().removeIf(s -> nowMs - s.sinceMs >= START_TIMEOUT_MS);
         ImmutableList.Builder<RecoveryDecision> decisions = ImmutableList.builder();
         Map<ModelKey, Integer> limits = new HashMap<>();
-        for (Iterator<RecoveryRequest> it = waitingCount.iterator(); it.hasNext(); ) {
+        for (Iterator<RecoveryRequest> it = waitingByPriority.iterator(); it.hasNext(); ) {
             RecoveryRequest r = it.next();
             ModelKey key = new ModelKey(r.model(), r.version());
             int limit = limits.computeIfAbsent(key, k -> limit(k, nowMs));
@@ -124,16 +124,16 @@
      * requests.
      */
     public synchronized int waitingCount(ModelId model) {
-        return (int) waitingCount.stream().filter(r -> r.model().equals(model)).count();
+        return (int) waitingByPriority.stream().filter(r -> r.model().equals(model)).count();
     }
 
     private Start start(RecoveryRequest r, long nowMs) {
-        starting.put(r.generation(), new Starting(r.model(), nowMs));
+        startingByGeneration.put(r.generation(), new StartingRecovery(r.model(), nowMs));
         return new Start(r.generation());
     }
 
     private long startingCount(ModelId model) {
-        return starting.values().stream().filter(s -> s.model.equals(model)).count();
+        return startingByGeneration.values().stream().filter(s -> s.model.equals(model)).count();
     }
 
     private int limit(ModelKey key, long nowMs) {
@@ -141,12 +141,12 @@
         if (c.engines() == 0) {
             return 0;
         }
-        if (!settings.recoveryAdmission()) {
+        if (!settings.hasRecoveryAdmission()) {
             return Integer.MAX_VALUE;
         }
-        return Math.max(MIN_STARTING, (int) (settings.recoveryShare() * c.fairShareSlots()));
+        return Math.max(MIN_STARTING, (int) (settings.recoveryFraction() * c.fairShareSlots()));
     }
 
     /** A recovery that was sent and has produced no new token yet. */
-    private record Starting(ModelId model, long sinceMs) {}
+    private record StartingRecovery(ModelId model, long sinceMs) {}
 }
--- a/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
+++ b/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
@@ -27,7 +27,7 @@
 public final class SnapshotCapacity implements CapacitySource {
     private final Supplier<RoutingSnapshot> snapshot;
     private final InFlight inFlight;
-    private final IntSupplier routers;
+    private final IntSupplier routerCount;
 
     /** Multiple of its even share of the free slots that one router may fill from one report. */
     private final double burstFactor;
@@ -39,28 +39,28 @@
             double burstFactor) {
         this.snapshot = checkNotNull(snapshot, "snapshot");
         this.inFlight = checkNotNull(inFlight, "inFlight");
-        this.routers = checkNotNull(routers, "routers");
+        this.routerCount = checkNotNull(routers, "routerCount");
         this.burstFactor = burstFactor;
     }
 
     /**
      * Returns a source for a router that shares the engines with other routers.
      *
-     * @param routers number of routers, including this one, that send to the engines of the
+     * @param routerCount number of routers, including this one, that send to the engines of the
      *     snapshot
      */
     public static SnapshotCapacity create(
             Supplier<RoutingSnapshot> snapshot,
             InFlight inFlight,
-            IntSupplier routers,
+            IntSupplier routerCount,
             LimitSettings settings) {
-        return new SnapshotCapacity(snapshot, inFlight, routers, settings.burstFactor());
+        return new SnapshotCapacity(snapshot, inFlight, routerCount, settings.burstFactor());
     }
 
     /** Returns a source with the default settings. */
     public static SnapshotCapacity create(
-            Supplier<RoutingSnapshot> snapshot, InFlight inFlight, IntSupplier routers) {
-        return create(snapshot, inFlight, routers, LimitSettings.defaults());
+            Supplier<RoutingSnapshot> snapshot, InFlight inFlight, IntSupplier routerCount) {
+        return create(snapshot, inFlight, routerCount, LimitSettings.defaults());
     }
 
     @Override
@@ -69,7 +69,7 @@
         if (engines.isEmpty()) {
             return Capacity.none();
         }
-        double evenShare = 1.0 / Math.max(1, routers.getAsInt());
+        double evenShare = 1.0 / Math.max(1, routerCount.getAsInt());
         double burstShare = Math.min(1, burstFactor * evenShare);
         double slots = sum(engines, EngineView::usableCapacity);
         double freeSlots =
--- a/masticweir/src/main/java/org/masticweir/limits/TeamQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/TeamQueue.java
@@ -9,7 +9,7 @@
 
 /** The queued requests of one team in one class, in a fixed order; not thread-safe. */
 final class TeamQueue {
-    private final NavigableSet<AdmissionRequest> waiting;
+    private final NavigableSet<AdmissionRequest> requests;
 
     /** Tokens served per unit of weight, in the virtual time of the class. */
     private double servedPerWeight;
@@ -22,7 +22,8 @@
     TeamQueue(double servedPerWeight, boolean byDeadline) {
         ToLongFunction<AdmissionRequest> order =
                 byDeadline ? AdmissionRequest::firstTokenDueMs : AdmissionRequest::receivedAtMs;
-        waiting = new TreeSet<>(comparingLong(order).thenComparing(comparing(r -> r.id().value())));
+        requests =
+                new TreeSet<>(comparingLong(order).thenComparing(comparing(r -> r.id().value())));
         this.servedPerWeight = servedPerWeight;
     }
 
@@ -35,26 +36,26 @@
     }
 
     void add(AdmissionRequest r) {
-        waiting.add(r);
+        requests.add(r);
     }
 
     boolean remove(AdmissionRequest r) {
-        return waiting.remove(r);
+        return requests.remove(r);
     }
 
     AdmissionRequest first() {
-        return waiting.first();
+        return requests.first();
     }
 
     AdmissionRequest last() {
-        return waiting.last();
+        return requests.last();
     }
 
     int size() {
-        return waiting.size();
+        return requests.size();
     }
 
     boolean isEmpty() {
-        return waiting.isEmpty();
+        return requests.isEmpty();
     }
 }
--- a/masticweir/src/main/java/org/masticweir/limits/TeamShares.java
+++ b/masticweir/src/main/java/org/masticweir/limits/TeamShares.java
@@ -45,29 +45,29 @@
     private static final double ACTIVE_TOKENS_PER_S = 0.01;
 
     private final RouterId self;
-    private final ToIntFunction<TeamId> share;
+    private final ToIntFunction<TeamId> declaredShare;
     private final Map<TeamId, DecayingSum> ownUsage = new HashMap<>();
-    private final Map<RouterId, ReceivedDigest> received = new HashMap<>();
+    private final Map<RouterId, ReceivedDigest> receivedDigests = new HashMap<>();
     private volatile ImmutableMap<TeamId, Double> corrections = ImmutableMap.of();
 
     private TeamShares(RouterId self, ToIntFunction<TeamId> share) {
         this.self = checkNotNull(self, "self");
-        this.share = checkNotNull(share, "share");
+        this.declaredShare = checkNotNull(share, "declaredShare");
     }
 
     /**
      * Returns shares without any usage.
      *
-     * @param share declared share of a team, at least 1 also for an undeclared team
+     * @param declaredShare declared share of a team, at least 1 also for an undeclared team
      */
-    public static TeamShares create(RouterId self, ToIntFunction<TeamId> share) {
-        return new TeamShares(self, share);
+    public static TeamShares create(RouterId self, ToIntFunction<TeamId> declaredShare) {
+        return new TeamShares(self, declaredShare);
     }
 
     /** Returns the weight of {@code team} in the queues of this router. */
     @Override
     public double weight(TeamId team) {
-        return share.applyAsInt(team) * corrections.getOrDefault(team, 1.0);
+        return declaredShare.applyAsInt(team) * corrections.getOrDefault(team, 1.0);
     }
 
     @Override
@@ -96,18 +96,18 @@
     public synchronized void merge(RouterId from, TeamUsageDigest digest, long nowMs) {
         checkNotNull(from, "from");
         checkNotNull(digest, "digest");
-        boolean isKnown = received.containsKey(from);
-        if (!from.equals(self) && (isKnown || received.size() < MAX_ROUTERS)) {
-            received.put(from, new ReceivedDigest(digest, nowMs));
+        boolean isKnown = receivedDigests.containsKey(from);
+        if (!from.equals(self) && (isKnown || receivedDigests.size() < MAX_ROUTERS)) {
+            receivedDigests.put(from, new ReceivedDigest(digest, nowMs));
         }
     }
 
     /** Recomputes all weights. */
     public synchronized void updateWeights(long nowMs) {
-        received.values().removeIf(r -> nowMs - r.atMs >= DIGEST_TTL_MS);
+        receivedDigests.values().removeIf(r -> nowMs - r.receivedAtMs >= DIGEST_TTL_MS);
         List<TeamUsageDigest> digests = new ArrayList<>();
         digests.add(digest(nowMs));
-        received.values().forEach(r -> digests.add(r.digest));
+        receivedDigests.values().forEach(r -> digests.add(r.digest));
         corrections = corrections(digests);
     }
 
@@ -120,12 +120,12 @@
             total += d.totalTokensPerS();
             active = Math.max(active, d.activeTeams());
         }
-        double shares = usage.keySet().stream().mapToInt(share).sum();
+        double shares = usage.keySet().stream().mapToInt(declaredShare).sum();
         double perShare = total / Math.max(1, shares + Math.max(0, active - usage.size()));
         ImmutableMap.Builder<TeamId, Double> result = ImmutableMap.builder();
         usage.forEach(
                 (team, tokens) -> {
-                    double fair = perShare * share.applyAsInt(team);
+                    double fair = perShare * declaredShare.applyAsInt(team);
                     if (tokens > fair) {
                         result.put(team, Math.max(MIN_CORRECTION, fair / tokens));
                     }
@@ -149,16 +149,16 @@
     }
 
     /** A digest and its time of arrival. */
-    private record ReceivedDigest(TeamUsageDigest digest, long atMs) {}
+    private record ReceivedDigest(TeamUsageDigest digest, long receivedAtMs) {}
 
     /** A sum that decays exponentially. */
     private static final class DecayingSum {
         private double sum;
-        private long atMs;
+        private long updatedAtMs;
 
         void add(int tokens, long nowMs) {
             sum = valueAt(nowMs) + tokens;
-            atMs = Math.max(atMs, nowMs);
+            updatedAtMs = Math.max(updatedAtMs, nowMs);
         }
 
         double ratePerS(long nowMs) {
@@ -166,7 +166,7 @@
         }
 
         private double valueAt(long nowMs) {
-            return sum * Math.exp(-Math.max(0, nowMs - atMs) / DECAY_MS);
+            return sum * Math.exp(-Math.max(0, nowMs - updatedAtMs) / DECAY_MS);
         }
     }
 }
--- a/masticweir/src/main/java/org/masticweir/quarantine/CrashRecord.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/CrashRecord.java
@@ -71,7 +71,7 @@
         return crashes;
     }
 
-    boolean isBlank() {
+    boolean isEmpty() {
         return losses.isEmpty();
     }
 
@@ -79,15 +79,15 @@
         return losses.stream().max(Comparator.comparingLong(Loss::endedMs));
     }
 
-    CrashRecord with(Loss loss) {
+    CrashRecord withLoss(Loss loss) {
         return new CrashRecord(content, union(losses, ImmutableList.of(loss)), withdrawn);
     }
 
-    CrashRecord withdraw(ServerIncarnation incarnation) {
+    CrashRecord withdrawLossOf(ServerIncarnation incarnation) {
         return new CrashRecord(content, losses, union(withdrawn, ImmutableSet.of(incarnation)));
     }
 
-    CrashRecord withdrawAll() {
+    CrashRecord withdrawAllLosses() {
         Set<ServerIncarnation> all =
                 losses.stream().map(Loss::life).collect(ImmutableSet.toImmutableSet());
         return new CrashRecord(content, losses, union(withdrawn, all));
@@ -106,18 +106,18 @@
                 withdrawn);
     }
 
-    private static ImmutableList<Loss> union(List<Loss> some, List<Loss> others) {
+    private static ImmutableList<Loss> union(List<Loss> first, List<Loss> second) {
         Map<ServerIncarnation, Loss> byIncarnation = new LinkedHashMap<>();
-        some.forEach(l -> byIncarnation.put(l.life(), l));
-        others.forEach(l -> byIncarnation.merge(l.life(), l, Loss::laterOf));
+        first.forEach(l -> byIncarnation.put(l.life(), l));
+        second.forEach(l -> byIncarnation.merge(l.life(), l, Loss::laterOf));
         return byIncarnation.values().stream()
                 .limit(MAX_INCARNATIONS)
                 .collect(ImmutableList.toImmutableList());
     }
 
     private static ImmutableSet<ServerIncarnation> union(
-            Set<ServerIncarnation> some, Set<ServerIncarnation> others) {
-        return Sets.union(some, others).stream()
+            Set<ServerIncarnation> first, Set<ServerIncarnation> second) {
+        return Sets.union(first, second).stream()
                 .limit(MAX_INCARNATIONS)
                 .collect(ImmutableSet.toImmutableSet());
     }
--- a/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
@@ -22,22 +22,22 @@
  * <p>A request that crashes each server that begins to run it may be submitted again and again, at
  * any router and under new ids. Without a quarantine the evidence would be lost with each
  * submission, and each would crash as many servers as its route allows, with all requests that run
- * there. The quarantine keeps the evidence beyond the submission. After {@link #LIMIT} servers the
- * content is held.
+ * there. The quarantine keeps the evidence beyond the submission. After {@link #CRASH_LIMIT}
+ * servers the content is held.
  *
  * <p>After each call that may change a content, the owner sends the result of {@link #drainUpdates}
  * to the other routers.
  */
 public final class Quarantine {
     /** Number of crashes from which on a content is held. */
-    public static final int LIMIT = 3;
+    public static final int CRASH_LIMIT = 3;
 
     /**
      * Number of crashes from which on a content is sent to the least loaded server. Most contents
      * with one crash merely ran beside the request that caused it, and are served best by the
      * normal choice of a server.
      */
-    static final int LEAST_LOADED_FROM = 2;
+    static final int LEAST_LOADED_MIN_CRASHES = 2;
 
     /**
      * Time from a run's first event within which the end of its server counts as evidence against
@@ -46,10 +46,10 @@
     public static final long TRIAL_MS = 2_000;
 
     /** Time for which a content is held when it reaches the limit, in ms. */
-    static final long FIRST_HOLD_MS = 60_000;
+    static final long FIRST_QUARANTINE_MS = 60_000;
 
     /** Factor by which the hold grows with each further crash. */
-    private static final int HOLD_GROWTH = 8;
+    private static final int QUARANTINE_GROWTH_FACTOR = 8;
 
     /**
      * Time after the last update from a router at which its trial no longer delays others, in ms.
@@ -63,7 +63,7 @@
     static final int MAX_CONTENTS = 4_096;
 
     private final RouterId self;
-    private final long longestHoldMs;
+    private final long maxQuarantineMs;
 
     /** Ordered by the last change, oldest first. */
     private final Map<ContentId, Entry> entries = new LinkedHashMap<>();
@@ -83,7 +83,7 @@
         }
 
         /** Returns the time of the last loss; without a loss, the time of creation. */
-        long lastEvidenceMs() {
+        long lastLossOrCreationMs() {
             return record.lastLoss().map(Loss::endedMs).orElse(createdMs);
         }
 
@@ -114,18 +114,18 @@
 
     private Quarantine(RouterId self, long longestHoldMs) {
         this.self = checkNotNull(self, "self");
-        this.longestHoldMs = longestHoldMs;
+        this.maxQuarantineMs = longestHoldMs;
     }
 
     /**
      * Returns an empty quarantine.
      *
-     * @param longestHoldMs longest time for which a content is held; evidence is removed this long
-     *     after the last loss
+     * @param maxQuarantineMs longest time for which a content is held; evidence is removed this
+     *     long after the last loss
      */
-    public static Quarantine create(RouterId self, long longestHoldMs) {
-        checkArgument(longestHoldMs > 0, "hold of %s ms", longestHoldMs);
-        return new Quarantine(self, longestHoldMs);
+    public static Quarantine create(RouterId self, long maxQuarantineMs) {
+        checkArgument(maxQuarantineMs > 0, "hold of %s ms", maxQuarantineMs);
+        return new Quarantine(self, maxQuarantineMs);
     }
 
     /**
@@ -142,13 +142,13 @@
             return SendRule.ANY_SERVER;
         }
         int count = entry.crashCount();
-        if (count >= LIMIT && nowMs < entry.lastEvidenceMs() + holdMs(count)) {
+        if (count >= CRASH_LIMIT && nowMs < entry.lastLossOrCreationMs() + quarantineMs(count)) {
             return SendRule.REJECT;
         }
         if (entry.inquiries > 0 || (count > 0 && isOnTrial(entry, nowMs))) {
             return SendRule.WAIT;
         }
-        return count >= LEAST_LOADED_FROM ? SendRule.LEAST_LOADED : SendRule.ANY_SERVER;
+        return count >= LEAST_LOADED_MIN_CRASHES ? SendRule.LEAST_LOADED : SendRule.ANY_SERVER;
     }
 
     /**
@@ -157,12 +157,12 @@
      * <p>Each hold ends, so that a harmless content that coincided with crashes is not rejected
      * forever. Each hold is longer than the one before.
      */
-    private long holdMs(int crashes) {
-        long holdMs = FIRST_HOLD_MS;
-        for (int i = LIMIT; i < crashes && holdMs < longestHoldMs; i++) {
-            holdMs *= HOLD_GROWTH;
+    private long quarantineMs(int crashes) {
+        long durationMs = FIRST_QUARANTINE_MS;
+        for (int i = CRASH_LIMIT; i < crashes && durationMs < maxQuarantineMs; i++) {
+            durationMs *= QUARANTINE_GROWTH_FACTOR;
         }
-        return Math.min(holdMs, longestHoldMs);
+        return Math.min(durationMs, maxQuarantineMs);
     }
 
     /** Returns the losses that count against {@code content}. */
@@ -172,11 +172,12 @@
     }
 
     /** Returns the time until the hold of a quarantined content ends, in ms. */
-    public long remainingHoldMs(ContentId content, long nowMs) {
+    public long remainingQuarantineMs(ContentId content, long nowMs) {
         Entry entry = entries.get(content);
         return entry == null
                 ? 0
-                : Math.max(0, entry.lastEvidenceMs() + holdMs(entry.crashCount()) - nowMs);
+                : Math.max(
+                        0, entry.lastLossOrCreationMs() + quarantineMs(entry.crashCount()) - nowMs);
     }
 
     /**
@@ -220,14 +221,14 @@
         Entry entry = entries.get(content);
         if (entry != null) {
             entry.inquiries = Math.max(0, entry.inquiries - 1);
-            removeIfBlank(content, entry);
+            removeIfEmpty(content, entry);
         }
     }
 
     /** Records the end of a server that had begun to run a request with {@code content}. */
     public Change recordLoss(ContentId content, Loss loss, long nowMs) {
         Entry entry = getOrCreate(content, nowMs);
-        return setRecord(entry, entry.record.with(loss));
+        return setRecord(entry, entry.record.withLoss(loss));
     }
 
     /** Records that a request with {@code content} ran without crashing its server. */
@@ -235,7 +236,7 @@
         Entry entry = findUnexpired(content, nowMs);
         return entry == null || entry.crashCount() == 0
                 ? Change.NONE
-                : setRecord(entry, entry.record.withdrawAll());
+                : setRecord(entry, entry.record.withdrawAllLosses());
     }
 
     /** Returns the contents against which the loss of {@code incarnation} counts. */
@@ -250,7 +251,9 @@
     /** Records an answer of {@code incarnation}, whose end was counted against {@code content}. */
     public Change recordAlive(ContentId content, ServerIncarnation incarnation, long nowMs) {
         Entry entry = findUnexpired(content, nowMs);
-        return entry == null ? Change.NONE : setRecord(entry, entry.record.withdraw(incarnation));
+        return entry == null
+                ? Change.NONE
+                : setRecord(entry, entry.record.withdrawLossOf(incarnation));
     }
 
     /** Applies another router's update; updates may arrive twice, late and in any order. */
@@ -262,7 +265,7 @@
             entry.trialsUntilMs.remove(peer);
         }
         Change change = merge(entry, update.record().shifted(nowMs));
-        removeIfBlank(update.record().content(), entry);
+        removeIfEmpty(update.record().content(), entry);
         return change;
     }
 
@@ -288,19 +291,19 @@
 
     /** Returns and clears the changes that this router made since the last call. */
     public ImmutableList<ContentUpdate> drainUpdates(long nowMs) {
-        ImmutableList<ContentUpdate> taken =
+        ImmutableList<ContentUpdate> updates =
                 pendingUpdates.stream()
                         .filter(entries::containsKey)
                         .map(c -> updateOf(entries.get(c), nowMs))
                         .collect(ImmutableList.toImmutableList());
         pendingUpdates.clear();
-        return taken;
+        return updates;
     }
 
     /** Returns all records, for a router that has just been linked. */
     public ImmutableList<ContentUpdate> snapshot(long nowMs) {
         return entries.values().stream()
-                .filter(e -> !e.record.isBlank())
+                .filter(e -> !e.record.isEmpty())
                 .map(e -> updateOf(e, nowMs))
                 .collect(ImmutableList.toImmutableList());
     }
@@ -320,7 +323,7 @@
     }
 
     private Change setRecord(Entry entry, CrashRecord record) {
-        int before = entry.crashCount();
+        int previousCount = entry.crashCount();
         if (record.equals(entry.record)) {
             return Change.NONE;
         }
@@ -328,11 +331,11 @@
         entries.remove(record.content());
         entries.put(record.content(), entry);
         pendingUpdates.add(record.content());
-        int after = entry.crashCount();
-        if (after > before) {
-            return after >= LIMIT ? Change.QUARANTINED : Change.SUSPECTED;
+        int newCount = entry.crashCount();
+        if (newCount > previousCount) {
+            return newCount >= CRASH_LIMIT ? Change.QUARANTINED : Change.SUSPECTED;
         }
-        return after == 0 && before > 0 ? Change.CLEARED : Change.NONE;
+        return newCount == 0 && previousCount > 0 ? Change.CLEARED : Change.NONE;
     }
 
     private Entry getOrCreate(ContentId content, long nowMs) {
@@ -357,9 +360,10 @@
     }
 
     private boolean isExpired(Entry entry, long nowMs) {
-        boolean isQuarantined = entry.crashCount() >= LIMIT;
-        long keptMs = isQuarantined ? longestHoldMs : Math.min(longestHoldMs, SUSPECT_EXPIRY_MS);
-        return entry.inquiries == 0 && nowMs - entry.lastEvidenceMs() >= keptMs;
+        boolean isQuarantined = entry.crashCount() >= CRASH_LIMIT;
+        long retentionMs =
+                isQuarantined ? maxQuarantineMs : Math.min(maxQuarantineMs, SUSPECT_EXPIRY_MS);
+        return entry.inquiries == 0 && nowMs - entry.lastLossOrCreationMs() >= retentionMs;
     }
 
     /**
@@ -379,14 +383,14 @@
     private void evictOldest(boolean quarantined) {
         Iterator<Entry> oldest = entries.values().iterator();
         while (entries.size() >= MAX_CONTENTS && oldest.hasNext()) {
-            if (oldest.next().crashCount() >= LIMIT == quarantined) {
+            if (oldest.next().crashCount() >= CRASH_LIMIT == quarantined) {
                 oldest.remove();
             }
         }
     }
 
-    private void removeIfBlank(ContentId content, Entry entry) {
-        if (entry.record.isBlank() && entry.inquiries == 0) {
+    private void removeIfEmpty(ContentId content, Entry entry) {
+        if (entry.record.isEmpty() && entry.inquiries == 0) {
             entries.remove(content);
         }
     }
--- a/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
@@ -53,16 +53,16 @@
     private static final int MAX_PENDING = 4_096;
 
     private static final int PAGE_ROWS = 500;
-    private static final char SEPARATOR = ' ';
-    private static final char FIELD = ',';
-    private static final Splitter PARTS = Splitter.on(SEPARATOR);
-    private static final Splitter FIELDS = Splitter.on(FIELD);
+    private static final char PART_SEPARATOR = ' ';
+    private static final char FIELD_SEPARATOR = ',';
+    private static final Splitter PART_SPLITTER = Splitter.on(PART_SEPARATOR);
+    private static final Splitter FIELD_SPLITTER = Splitter.on(FIELD_SEPARATOR);
     private static final int LOSS_FIELDS = 4;
 
     private final TableService store;
     private final ScheduledExecutorService control;
     private final Clock clock;
-    private final long holdMs;
+    private final long retentionMs;
     private final Map<ContentId, CrashRecord> pending = new LinkedHashMap<>();
     private boolean isWriting;
     private boolean isLoaded;
@@ -72,31 +72,31 @@
         this.store = checkNotNull(store, "store");
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
-        this.holdMs = holdMs;
+        this.retentionMs = holdMs;
     }
 
     /** Reads all stored records, with times converted to this router's clock. */
-    public void load(Consumer<CrashRecord> found) {
-        loadPageAfter("", found);
+    public void load(Consumer<CrashRecord> recordConsumer) {
+        loadPageAfter("", recordConsumer);
     }
 
-    private void loadPageAfter(String key, Consumer<CrashRecord> found) {
+    private void loadPageAfter(String key, Consumer<CrashRecord> recordConsumer) {
         store.list(TABLE, key, PAGE_ROWS, CALL_TIMEOUT_MS)
-                .thenAccept(outcome -> onControl(() -> onPageRead(key, outcome, found)));
+                .thenAccept(outcome -> onControl(() -> onPageRead(key, outcome, recordConsumer)));
     }
 
     private void onPageRead(
-            String key, ReadOutcome<List<Row>> outcome, Consumer<CrashRecord> found) {
+            String key, ReadOutcome<List<Row>> outcome, Consumer<CrashRecord> recordConsumer) {
         if (!(outcome instanceof ReadOutcome.Done<List<Row>> done)) {
-            retryLater(() -> loadPageAfter(key, found), "read");
+            retryLater(() -> loadPageAfter(key, recordConsumer), "read");
             return;
         }
         List<Row> rows = done.value();
-        rows.forEach(r -> handleRow(r, found));
+        rows.forEach(r -> handleRow(r, recordConsumer));
         if (rows.size() < PAGE_ROWS) {
             isLoaded = true;
         } else {
-            loadPageAfter(Iterables.getLast(rows).key().key(), found);
+            loadPageAfter(Iterables.getLast(rows).key().key(), recordConsumer);
         }
     }
 
@@ -112,8 +112,8 @@
         onControl(
                 () -> {
                     // A record that never had two servers was not saved, so it has no row.
-                    boolean matters = record.losses().size() >= MIN_SERVERS;
-                    if (matters && pending.size() < MAX_PENDING) {
+                    boolean hasEnoughServers = record.losses().size() >= MIN_SERVERS;
+                    if (hasEnoughServers && pending.size() < MAX_PENDING) {
                         pending.put(record.content(), record);
                         write();
                     }
@@ -152,8 +152,8 @@
         StringBuilder text = new StringBuilder(Long.toString(clock.wallMs()));
         for (Loss loss : record.shifted(-clock.nowMs()).countedLosses()) {
             ServerIncarnation incarnation = loss.life();
-            text.append(SEPARATOR);
-            Joiner.on(FIELD)
+            text.append(PART_SEPARATOR);
+            Joiner.on(FIELD_SEPARATOR)
                     .appendTo(
                             text,
                             incarnation.id(),
@@ -164,12 +164,12 @@
         return text.toString();
     }
 
-    private void handleRow(Row row, Consumer<CrashRecord> found) {
+    private void handleRow(Row row, Consumer<CrashRecord> recordConsumer) {
         try {
-            List<String> parts = PARTS.splitToList(row.value());
+            List<String> parts = PART_SPLITTER.splitToList(row.value());
             checkArgument(parts.size() >= 2, "no time or no server");
             long ageMs = Math.max(0, clock.wallMs() - Long.parseLong(parts.get(0)));
-            if (ageMs >= holdMs) {
+            if (ageMs >= retentionMs) {
                 remove(row.key());
                 return;
             }
@@ -180,7 +180,7 @@
                             .collect(ImmutableList.toImmutableList());
             CrashRecord record =
                     new CrashRecord(ContentId.of(row.key().key()), losses, ImmutableSet.of());
-            found.accept(record.shifted(clock.nowMs() - ageMs));
+            recordConsumer.accept(record.shifted(clock.nowMs() - ageMs));
         } catch (IllegalArgumentException e) {
             LOG.warn("quarantine: row {} is not understood, {}", row.key(), e.getMessage());
         }
@@ -197,15 +197,15 @@
     }
 
     private static Loss decodeLoss(String text) {
-        List<String> fields = FIELDS.splitToList(text);
+        List<String> fields = FIELD_SPLITTER.splitToList(text);
         checkArgument(fields.size() == LOSS_FIELDS, "%s is not a loss", text);
         ServerIncarnation incarnation =
                 ServerIncarnation.of(EngineId.of(fields.get(0)), Long.parseLong(fields.get(1)));
         return new Loss(incarnation, Long.parseLong(fields.get(2)), Long.parseLong(fields.get(3)));
     }
 
-    private void retryLater(Runnable step, String what) {
-        LOG.info("quarantine: the store could not be reached to {}, retrying", what);
+    private void retryLater(Runnable step, String operation) {
+        LOG.info("quarantine: the store could not be reached to {}, retrying", operation);
         ControlThread.executeAfter(control, step, RETRY_MS, "quarantine");
     }
 
--- a/masticweir/src/main/java/org/masticweir/quarantine/SharedQuarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/SharedQuarantine.java
@@ -38,9 +38,9 @@
     private final ScheduledExecutorService control;
     private final Consumer<CrashUpdate> broadcast;
     private final Consumer<CrashRecord> save;
-    private final Counter suspected;
-    private final Counter quarantined;
-    private final Counter cleared;
+    private final Counter suspectedCounter;
+    private final Counter quarantinedCounter;
+    private final Counter clearedCounter;
     private volatile BiConsumer<ContentId, Change> listener = (content, change) -> {};
     private volatile boolean isEmpty = true;
     private boolean isBatchScheduled;
@@ -63,17 +63,17 @@
         this.control = checkNotNull(control, "control");
         this.broadcast = checkNotNull(broadcast, "broadcast");
         this.save = checkNotNull(save, "save");
-        suspected = metrics.counter(MetricName.of("contents_suspected_total"));
-        quarantined = metrics.counter(MetricName.of("contents_quarantined_total"));
-        cleared = metrics.counter(MetricName.of("contents_cleared_total"));
+        suspectedCounter = metrics.counter(MetricName.of("contents_suspected_total"));
+        quarantinedCounter = metrics.counter(MetricName.of("contents_quarantined_total"));
+        clearedCounter = metrics.counter(MetricName.of("contents_cleared_total"));
     }
 
     /**
      * Sets the listener that is called when a content becomes suspect or is put into quarantine. It
      * is called on the thread that made the change, outside of any lock.
      */
-    public void onChange(BiConsumer<ContentId, Change> next) {
-        listener = checkNotNull(next, "next");
+    public void onChange(BiConsumer<ContentId, Change> newListener) {
+        listener = checkNotNull(newListener, "newListener");
     }
 
     /**
@@ -92,8 +92,8 @@
     }
 
     /** Returns the time until the hold of a quarantined content ends, in ms. */
-    public synchronized long remainingHoldMs(ContentId content, long nowMs) {
-        return quarantine.remainingHoldMs(content, nowMs);
+    public synchronized long remainingQuarantineMs(ContentId content, long nowMs) {
+        return quarantine.remainingQuarantineMs(content, nowMs);
     }
 
     /** Records a send; returns whether it is on trial, which lasts until {@link #endTrial}. */
@@ -103,9 +103,9 @@
         }
         ContentId id = content.get();
         synchronized (this) {
-            boolean onTrial = quarantine.beginTrial(id, clock.nowMs());
+            boolean isOnTrial = quarantine.beginTrial(id, clock.nowMs());
             scheduleBatch();
-            return onTrial;
+            return isOnTrial;
         }
     }
 
@@ -254,22 +254,25 @@
 
     private void log(ContentId content, Change change, String cause) {
         if (change == Change.SUSPECTED) {
-            suspected.inc();
-            LOG.info("quarantine: content {} is suspect, {}", content, evidence(content, cause));
+            suspectedCounter.inc();
+            LOG.info(
+                    "quarantine: content {} is suspect, {}",
+                    content,
+                    describeLosses(content, cause));
         } else if (change == Change.QUARANTINED) {
-            quarantined.inc();
+            quarantinedCounter.inc();
             LOG.warn(
                     "quarantine: content {} is not sent for {} ms, {}",
                     content,
-                    remainingHoldMs(content, clock.nowMs()),
-                    evidence(content, cause));
+                    remainingQuarantineMs(content, clock.nowMs()),
+                    describeLosses(content, cause));
         } else if (change == Change.CLEARED) {
-            cleared.inc();
+            clearedCounter.inc();
             LOG.info("quarantine: content {} is cleared, {}", content, cause);
         }
     }
 
-    private String evidence(ContentId content, String cause) {
+    private String describeLosses(ContentId content, String cause) {
         return record(content)
                 .map(r -> cause + "; " + r.crashCount() + " ends counted of " + r.countedLosses())
                 .orElse(cause);
--- a/masticweir/src/main/java/org/masticweir/relay/ContentTrial.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ContentTrial.java
@@ -44,7 +44,8 @@
 
             @Override
             public OptionalLong holdLeftMs(long nowMs) {
-                return OptionalLong.of(context.quarantine().remainingHoldMs(content.get(), nowMs));
+                return OptionalLong.of(
+                        context.quarantine().remainingQuarantineMs(content.get(), nowMs));
             }
         };
     }
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
@@ -97,6 +97,7 @@
                 ClaimStateMachine.of(RowKey.of("claims", "k"), row, policy, 0, 50);
         state.start(0);
         assertEquals(
-                List.of(new ClaimAction.Grant(50)), state.on(new ClaimEvent.Committed(1, 9), 1));
+                List.of(new ClaimAction.Grant(50)),
+                state.onEvent(new ClaimEvent.Committed(1, 9), 1));
     }
 }
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
@@ -184,7 +184,7 @@
             submit(router);
         } else if (choice < 45) {
             nowMs += random.nextInt(12);
-            router.batch.next(nowMs).ifPresent(g -> network.add(new Sent(router, g)));
+            router.batch.nextGroup(nowMs).ifPresent(g -> network.add(new Sent(router, g)));
         } else if (choice < 75 && !network.isEmpty()) {
             deliver(network.remove(random.nextInt(network.size())));
         } else if (choice < 88) {
@@ -371,7 +371,7 @@
     private void deliver(Router router, long id, ClaimEvent event) {
         Submission s = router.live.get(id);
         if (s != null) {
-            apply(router, id, s.state.on(event, nowMs));
+            apply(router, id, s.state.onEvent(event, nowMs));
         }
     }
 
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
@@ -307,10 +307,10 @@
      */
     long sendsAfterThirdCrash(ContentId content, long afterMs) {
         List<Long> ends = crashesMs.getOrDefault(content, List.of());
-        return ends.size() < Quarantine.LIMIT
+        return ends.size() < Quarantine.CRASH_LIMIT
                 ? 0
                 : sendsMs.get(content).stream()
-                        .filter(s -> s > ends.get(Quarantine.LIMIT - 1) + afterMs)
+                        .filter(s -> s > ends.get(Quarantine.CRASH_LIMIT - 1) + afterMs)
                         .count();
     }
 
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleetTest.java
@@ -59,7 +59,7 @@
                 String seen = "seed " + seed + ": " + ended + " ended, " + after + " sends after";
                 assertTrue(after <= MAX_SENDS_AFTER, seen);
                 long early = fleet.sendsBeforeFirstUpdate(CONTENT);
-                assertTrue(ended <= early + Quarantine.LIMIT, seen + ", " + early);
+                assertTrue(ended <= early + Quarantine.CRASH_LIMIT, seen + ", " + early);
             }
         }
     }
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
@@ -40,7 +40,7 @@
     }
 
     private void loseThreeServers(long nowMs) {
-        for (int i = 0; i < Quarantine.LIMIT; i++) {
+        for (int i = 0; i < Quarantine.CRASH_LIMIT; i++) {
             quarantine.recordLoss(CONTENT, loss(i, nowMs), nowMs);
         }
     }
@@ -68,7 +68,7 @@
         void serverCountsOnceIfSeveralRoutersLostIt() {
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
             ContentUpdate sameServer =
-                    new ContentUpdate(CrashRecord.of(CONTENT).with(loss(1, 0)), false);
+                    new ContentUpdate(CrashRecord.of(CONTENT).withLoss(loss(1, 0)), false);
             assertEquals(Change.NONE, quarantine.handleUpdate(PEER, sameServer, 0));
             assertEquals(Change.NONE, quarantine.recordLoss(CONTENT, loss(1, 0), 0));
             assertEquals(1, quarantine.countedLosses(CONTENT).size());
@@ -101,7 +101,7 @@
         /** A server that restarts under its id and ends again counts as two losses. */
         @Test
         void eachIncarnationOfAServerCounts() {
-            for (int start = 1; start <= Quarantine.LIMIT; start++) {
+            for (int start = 1; start <= Quarantine.CRASH_LIMIT; start++) {
                 ServerIncarnation incarnation = ServerIncarnation.of(EngineId.of("i-1"), start);
                 quarantine.recordLoss(CONTENT, new Loss(incarnation, 0, RUN_MS), RUN_MS);
             }
@@ -145,7 +145,8 @@
         void lateUpdateDoesNotRestoreAWithdrawnLoss() {
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
             quarantine.recordSuccess(CONTENT, 10);
-            ContentUpdate late = new ContentUpdate(CrashRecord.of(CONTENT).with(loss(1, 0)), false);
+            ContentUpdate late =
+                    new ContentUpdate(CrashRecord.of(CONTENT).withLoss(loss(1, 0)), false);
             quarantine.handleUpdate(PEER, late, 30);
             assertEquals(SendRule.ANY_SERVER, sendRule(30));
         }
@@ -164,8 +165,8 @@
         @Test
         void contentIsTriedAgainAfterEachHoldWhichGrows() {
             loseThreeServers(0);
-            long first = Quarantine.FIRST_HOLD_MS;
-            assertEquals(first - 1_000, quarantine.remainingHoldMs(CONTENT, 1_000));
+            long first = Quarantine.FIRST_QUARANTINE_MS;
+            assertEquals(first - 1_000, quarantine.remainingQuarantineMs(CONTENT, 1_000));
             assertEquals(SendRule.REJECT, sendRule(first - 1));
             assertEquals(SendRule.LEAST_LOADED, sendRule(first));
             quarantine.beginTrial(CONTENT, first);
@@ -176,7 +177,7 @@
             quarantine.endInquiry(CONTENT);
             Change change = quarantine.recordLoss(CONTENT, loss(7, first + 2), first + 2);
             assertEquals(Change.QUARANTINED, change);
-            assertTrue(quarantine.remainingHoldMs(CONTENT, first + 2) > first);
+            assertTrue(quarantine.remainingQuarantineMs(CONTENT, first + 2) > first);
             assertEquals(SendRule.REJECT, sendRule(3 * first));
         }
 
@@ -184,8 +185,9 @@
         void contentThatRunsWellAfterItsHoldIsCleared() {
             loseThreeServers(0);
             assertEquals(
-                    Change.CLEARED, quarantine.recordSuccess(CONTENT, Quarantine.FIRST_HOLD_MS));
-            assertEquals(SendRule.ANY_SERVER, sendRule(Quarantine.FIRST_HOLD_MS));
+                    Change.CLEARED,
+                    quarantine.recordSuccess(CONTENT, Quarantine.FIRST_QUARANTINE_MS));
+            assertEquals(SendRule.ANY_SERVER, sendRule(Quarantine.FIRST_QUARANTINE_MS));
         }
 
         @Test
@@ -198,11 +200,11 @@
         @Test
         void updateOfAnotherRouterDoesNotProlongTheHold() {
             loseThreeServers(0);
-            long halfMs = Quarantine.FIRST_HOLD_MS / 2;
+            long halfMs = Quarantine.FIRST_QUARANTINE_MS / 2;
             ContentUpdate same = quarantine.snapshot(halfMs).get(0);
             Quarantine other = Quarantine.create(PEER, HOLD_MS);
             other.handleUpdate(RouterId.of("r1"), same, halfMs);
-            assertEquals(halfMs, other.remainingHoldMs(CONTENT, halfMs));
+            assertEquals(halfMs, other.remainingQuarantineMs(CONTENT, halfMs));
         }
     }
 
@@ -220,7 +222,7 @@
 
         @Test
         void requestsWaitForAPeersTrialUntilThePeerIsLost() {
-            CrashRecord record = CrashRecord.of(CONTENT).with(loss(1, 0));
+            CrashRecord record = CrashRecord.of(CONTENT).withLoss(loss(1, 0));
             quarantine.handleUpdate(PEER, new ContentUpdate(record, true), 0);
             assertEquals(SendRule.WAIT, sendRule(1));
             assertEquals(SendRule.ANY_SERVER, sendRule(Quarantine.PEER_TRIAL_EXPIRY_MS));
@@ -243,7 +245,7 @@
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
             assertEquals(1, quarantine.drainUpdates(0).size());
             assertEquals(0, quarantine.drainUpdates(0).size());
-            CrashRecord received = CrashRecord.of(CONTENT).with(loss(2, 0));
+            CrashRecord received = CrashRecord.of(CONTENT).withLoss(loss(2, 0));
             assertEquals(
                     Change.SUSPECTED,
                     quarantine.handleUpdate(PEER, new ContentUpdate(received, false), 0));
@@ -254,7 +256,7 @@
         @Test
         void ofAPeerDoNotReplaceOwnUpdates() {
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
-            CrashRecord received = CrashRecord.of(CONTENT).with(loss(2, 0));
+            CrashRecord received = CrashRecord.of(CONTENT).withLoss(loss(2, 0));
             quarantine.handleUpdate(PEER, new ContentUpdate(received, false), 0);
             assertEquals(1, quarantine.drainUpdates(0).size());
         }
@@ -268,9 +270,12 @@
                 CrashRecord record = CrashRecord.of(CONTENT);
                 for (int i = 0; i < 6; i++) {
                     record =
-                            random.nextInt(4) == 0 ? record.withdrawAll() : record.with(loss(i, 0));
+                            random.nextInt(4) == 0
+                                    ? record.withdrawAllLosses()
+                                    : record.withLoss(loss(i, 0));
                     updates.add(new ContentUpdate(record, false));
-                    updates.add(new ContentUpdate(CrashRecord.of(CONTENT).with(loss(i, 0)), false));
+                    updates.add(
+                            new ContentUpdate(CrashRecord.of(CONTENT).withLoss(loss(i, 0)), false));
                 }
                 Quarantine one = quarantineOf(updates, random);
                 Quarantine other = quarantineOf(updates, random);
--- a/masticweir/src/test/java/org/masticweir/replay/ClaimReplay.java
+++ b/masticweir/src/test/java/org/masticweir/replay/ClaimReplay.java
@@ -107,7 +107,7 @@
     }
 
     private void tell(Submission s, ClaimEvent event) {
-        carryOut(s, s.claim.on(event, nowMs()));
+        carryOut(s, s.claim.onEvent(event, nowMs()));
     }
 
     private void carryOut(Submission s, List<ClaimAction> actions) {
