--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStateMachine.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStateMachine.java
@@ -49,23 +49,23 @@
     private long settleUntilMs;
 
     private ClaimStateMachine(
-            RowKey key, ClaimRow claim, ClaimPolicy policy, long nowMs, long deadlineMs) {
+            RowKey key, ClaimRow claimRow, ClaimPolicy policy, long nowMs, long deadlineMs) {
         this.key = checkNotNull(key, "key");
-        this.claimRow = checkNotNull(claim, "claimRow");
+        this.claimRow = checkNotNull(claimRow, "claimRow");
         this.policy = checkNotNull(policy, "policy");
         this.deadlineMs = deadlineMs;
         checkArgument(
-                claim.status() == ClaimStatus.CLAIMED,
+                claimRow.status() == ClaimStatus.CLAIMED,
                 "claim starts with status %s",
-                claim.status());
+                claimRow.status());
         sendBeforeMs = Math.min(deadlineMs, nowMs + policy.sendWithinMs());
-        targetRow = claim;
+        targetRow = claimRow;
     }
 
     /** Returns a claim that is not yet written; at {@code deadlineMs} its caller gives up. */
     public static ClaimStateMachine of(
-            RowKey key, ClaimRow claim, ClaimPolicy policy, long nowMs, long deadlineMs) {
-        return new ClaimStateMachine(key, claim, policy, nowMs, deadlineMs);
+            RowKey key, ClaimRow claimRow, ClaimPolicy policy, long nowMs, long deadlineMs) {
+        return new ClaimStateMachine(key, claimRow, policy, nowMs, deadlineMs);
     }
 
     /** Returns the first write. */
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
@@ -15,9 +15,9 @@
     private final boolean claimable;
     private final Verdict verdictWithoutOwner;
 
-    ClaimStatus(boolean claimable, Verdict verdictOfLostOwner) {
+    ClaimStatus(boolean claimable, Verdict verdictWithoutOwner) {
         this.claimable = claimable;
-        this.verdictWithoutOwner = verdictOfLostOwner;
+        this.verdictWithoutOwner = verdictWithoutOwner;
     }
 
     /** Returns whether another claim may replace this one. */
--- a/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
@@ -41,19 +41,19 @@
             WriteDelegation delegation,
             SharedWriteLimits limits,
             WriterLinks links,
-            Supplier<? extends Collection<RouterId>> serving,
+            Supplier<? extends Collection<RouterId>> servingRouters,
             ScheduledExecutorService control,
             Clock clock,
-            BooleanSupplier isTableOutHere,
-            Consumer<DelegationAction> actions) {
+            BooleanSupplier isTableUnavailable,
+            Consumer<DelegationAction> actionHandler) {
         this.delegation = checkNotNull(delegation, "delegation");
         this.limits = checkNotNull(limits, "limits");
         this.links = checkNotNull(links, "links");
-        this.servingRouters = checkNotNull(serving, "servingRouters");
+        this.servingRouters = checkNotNull(servingRouters, "servingRouters");
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
-        this.isTableUnavailable = checkNotNull(isTableOutHere, "isTableUnavailable");
-        this.actionHandler = checkNotNull(actions, "actionHandler");
+        this.isTableUnavailable = checkNotNull(isTableUnavailable, "isTableUnavailable");
+        this.actionHandler = checkNotNull(actionHandler, "actionHandler");
     }
 
     /**
--- a/masticweir/src/main/java/org/masticweir/claims/PeerWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/PeerWrites.java
@@ -24,8 +24,8 @@
     private final Map<Long, Reply> repliesByNumber = new HashMap<>();
     private long lastNumber;
 
-    PeerWrites(ClaimBatcher batch, Clock clock) {
-        this.batcher = checkNotNull(batch, "batcher");
+    PeerWrites(ClaimBatcher batcher, Clock clock) {
+        this.batcher = checkNotNull(batcher, "batcher");
         this.clock = checkNotNull(clock, "clock");
     }
 
--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
@@ -60,12 +60,12 @@
     private AdmissionController(
             CapacitySource capacity,
             TeamWeights teamWeights,
-            ToIntFunction<ModelId> waitingRecoveries,
+            ToIntFunction<ModelId> waitingRecoveryCount,
             RandomGenerator random,
             LimitSettings settings) {
         this.capacity = checkNotNull(capacity, "capacity");
         this.teamWeights = checkNotNull(teamWeights, "teamWeights");
-        this.waitingRecoveryCount = checkNotNull(waitingRecoveries, "waitingRecoveryCount");
+        this.waitingRecoveryCount = checkNotNull(waitingRecoveryCount, "waitingRecoveryCount");
         this.random = checkNotNull(random, "random");
         this.settings = checkNotNull(settings, "settings");
     }
--- a/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
+++ b/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
@@ -35,11 +35,11 @@
     private SnapshotCapacity(
             Supplier<RoutingSnapshot> snapshot,
             InFlight inFlight,
-            IntSupplier routers,
+            IntSupplier routerCount,
             double burstFactor) {
         this.snapshot = checkNotNull(snapshot, "snapshot");
         this.inFlight = checkNotNull(inFlight, "inFlight");
-        this.routerCount = checkNotNull(routers, "routerCount");
+        this.routerCount = checkNotNull(routerCount, "routerCount");
         this.burstFactor = burstFactor;
     }
 
--- a/masticweir/src/main/java/org/masticweir/limits/TeamShares.java
+++ b/masticweir/src/main/java/org/masticweir/limits/TeamShares.java
@@ -50,9 +50,9 @@
     private final Map<RouterId, ReceivedDigest> receivedDigests = new HashMap<>();
     private volatile ImmutableMap<TeamId, Double> corrections = ImmutableMap.of();
 
-    private TeamShares(RouterId self, ToIntFunction<TeamId> share) {
+    private TeamShares(RouterId self, ToIntFunction<TeamId> declaredShare) {
         this.self = checkNotNull(self, "self");
-        this.declaredShare = checkNotNull(share, "declaredShare");
+        this.declaredShare = checkNotNull(declaredShare, "declaredShare");
     }
 
     /**
--- a/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
@@ -112,9 +112,9 @@
         }
     }
 
-    private Quarantine(RouterId self, long longestHoldMs) {
+    private Quarantine(RouterId self, long maxQuarantineMs) {
         this.self = checkNotNull(self, "self");
-        this.maxQuarantineMs = longestHoldMs;
+        this.maxQuarantineMs = maxQuarantineMs;
     }
 
     /**
--- a/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
@@ -68,11 +68,11 @@
     private boolean isLoaded;
 
     public QuarantineStore(
-            TableService store, ScheduledExecutorService control, Clock clock, long holdMs) {
+            TableService store, ScheduledExecutorService control, Clock clock, long retentionMs) {
         this.store = checkNotNull(store, "store");
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
-        this.retentionMs = holdMs;
+        this.retentionMs = retentionMs;
     }
 
     /** Reads all stored records, with times converted to this router's clock. */
