--- a/masticweir/src/main/java/org/masticweir/claims/BatchLimits.java
+++ b/masticweir/src/main/java/org/masticweir/claims/BatchLimits.java
@@ -6,8 +6,8 @@
  * Limits of one router's group commit.
  *
  * @param maxRows maximum number of rows in one transaction
- * @param waitMs how long the first row waits for others
- * @param lazyWaitMs the same for rows that no caller waits for
+ * @param waitMs how long the first row of a transaction waits for further rows
+ * @param lazyWaitMs how long the first row waits if no caller waits for the row
  * @param queueRows maximum number of queued rows that a caller waits for
  * @param lazyRows maximum number of queued rows that no caller waits for
  * @param inFlight maximum number of concurrent transactions
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimAction.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimAction.java
@@ -17,8 +17,8 @@
     record Grant(long sendBeforeMs) implements ClaimAction {}
 
     /**
-     * Another submission holds the claim: join it at its owner, or return the result stored in the
-     * row.
+     * Another submission holds the claim: join this submission at its owner, or return the result
+     * stored in the row.
      */
     record ReportAlreadyClaimed(ClaimRow row) implements ClaimAction {
         public ReportAlreadyClaimed {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimBatcher.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimBatcher.java
@@ -25,15 +25,15 @@
 import org.masticweir.store.TransactionOutcome;
 
 /**
- * Decides which claims of one router share a transaction, and when it is sent.
+ * Decides which claims of one router share a transaction, and when the transaction is sent.
  *
  * <p>{@link #offer} queues a write, {@link #nextGroup} returns the next transaction that is due,
  * and {@link #onOutcome} converts the outcome of a transaction to the outcomes of its claims. A
- * claim whose row differs fails alone; the others are queued again for the next group. Not
- * thread-safe: owned by the control thread.
+ * claim whose row differs fails alone; the other claims of the transaction are queued again for the
+ * next group. Not thread-safe: owned by the control thread.
  */
 final class ClaimBatcher {
-    /** A queued write and the time from which it waits. */
+    /** A queued write and the time at which its wait started. */
     private record QueuedWrite(BatchItem item, long sinceMs) {
         RowKey key() {
             return item.write().key();
@@ -58,8 +58,8 @@
     /**
      * Queues {@code item}, or returns the delay in milliseconds before a retry.
      *
-     * <p>Refuses at once, so that a caller doesn't wait for a write that can't be made in time,
-     * when the queue is full and while the table is unavailable.
+     * <p>Refuses at once when the queue is full or the table is unavailable, so that a caller
+     * doesn't wait for a write that can't be made in time.
      */
     OptionalLong offer(BatchItem item, long nowMs) {
         boolean isUrgent = item.write().isUrgent();
@@ -137,12 +137,12 @@
     }
 
     /**
-     * Reports a conflict to the claims whose rows differ and queues the others again, before newer
-     * ones.
+     * Reports a conflict to the claims whose rows differ. Queues the other claims again, before
+     * newer writes.
      *
      * <p>A conflict proves that the whole transaction had no effect, so the other claims can be
      * written anew. A conflict that names none of the transaction's rows proves nothing, and
-     * requeueing could repeat it forever.
+     * requeueing could repeat this conflict forever.
      */
     private List<BatchEvent> onConflict(List<QueuedWrite> items, List<Row> rows) {
         Map<RowKey, Row> differing =
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimCommands.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimCommands.java
@@ -8,7 +8,7 @@
 /** Changes to claims; thread-safe, never blocks. */
 public interface ClaimCommands {
     /**
-     * Claims a request; call it as late as possible before the first send.
+     * Claims a request; call this method as late as possible before the first send.
      *
      * @param deadlineMs time on this router's monotonic clock at which the caller gives up
      * @return a future that completes on the control thread, never exceptionally
@@ -21,6 +21,9 @@
      */
     void reportNotSent(ClaimPermit permit);
 
-    /** Reports the end of a request that was sent; it is stored lazily for later submissions. */
+    /**
+     * Reports the end of a request that was sent; the verdict and the result are stored lazily for
+     * later submissions.
+     */
     void reportEnded(ClaimPermit permit, Verdict verdict, String result);
 }
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimPermit.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimPermit.java
@@ -8,12 +8,12 @@
  */
 public record ClaimPermit(long claim, long sendBeforeMs) {
     /**
-     * Returns whether an attempt may be sent now; call it right before the send.
+     * Returns whether an attempt may be sent now; call this method right before the send.
      *
-     * <p>Prevents a second run if a router was paused after its claim until the row was swept and
-     * another claim ran: the permission ends long before the sweep's retention. A pause between
-     * this check and the send is not covered; it is harmful only if it is longer than the
-     * retention.
+     * <p>Prevents a second run after a long pause of a router: the pause begins after the claim,
+     * the row is deleted as expired, and another claim runs the request. The permission therefore
+     * ends long before the retention of the row. A pause between this check and the send is not
+     * covered; such a pause is harmful only if it is longer than the retention.
      */
     public boolean maySend(long nowMs) {
         return nowMs < sendBeforeMs;
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimPolicy.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimPolicy.java
@@ -7,7 +7,7 @@
  *
  * @param maxTries writes of one claim before its caller is refused
  * @param settleForMs how long the write of a released or done row is retried; longer than domains
- *     are cut off from the platform
+ *     are partitioned from the platform
  * @param settleDelayMs pause before the first retry of such a write; doubles with each retry
  * @param sendWithinMs how long after its first write a claim permits sending
  * @param retryAfterMs retry delay for a caller refused while the table is unavailable
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimRow.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimRow.java
@@ -15,11 +15,11 @@
 /**
  * The value of a claim's row; immutable.
  *
- * @param nonce random value of one submission; identifies the submission that inserted a row
- * @param owner router that made the claim; while it runs it has newer information than the row
+ * @param nonce random value that identifies the submission that inserted the row
+ * @param owner router that made the claim; a running owner has newer information than the row
  * @param wallMs wall time of the claim, for the sweep
- * @param verdict what is known of the run; valid for other routers only once the status is done
- * @param result stored answer, or empty if it was not kept
+ * @param verdict known verdict of the run; valid for other routers only once the status is done
+ * @param result stored answer, or empty if the answer was not stored
  */
 public record ClaimRow(
         String nonce,
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimService.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimService.java
@@ -84,9 +84,10 @@
     }
 
     /**
-     * Shares writes with the other routers of the domain; call it once, before the first claim.
+     * Shares writes with the other routers of the domain; call this method once, before the first
+     * claim.
      *
-     * @param serving serving routers of the domain, including this one if it serves
+     * @param serving serving routers of the domain, including this router if it serves
      */
     public void enableSharedWrites(
             PeerLinks links,
@@ -187,7 +188,7 @@
         try {
             apply(id, claim.stateMachine().onEvent(event, clock.nowMs()));
         } catch (IllegalArgumentException | IllegalStateException e) {
-            // The request of a row that can't be read, for example one of a later version, must not
+            // If a row can't be read, for example a row of a later version, its request must not
             // run twice.
             LOG.error("claims: claim {} dropped, {}", id, e.getMessage());
             remove(id);
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStateMachine.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStateMachine.java
@@ -17,7 +17,8 @@
  *
  * <p>{@link #start} returns the first write; each event returns the next actions. At most one of
  * {@code Grant}, {@code ReportAlreadyClaimed} and {@code Refuse} is ever returned, so that a late
- * response can't grant a claim that was given up. Not thread-safe: owned by the control thread.
+ * response can't grant a claim whose caller was refused. Not thread-safe: owned by the control
+ * thread.
  */
 public final class ClaimStateMachine {
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
@@ -102,8 +103,8 @@
     }
 
     /**
-     * Returns whether {@code event} responds to an earlier write: it does not describe the row
-     * after the later write.
+     * Returns whether {@code event} responds to an earlier write; such an event does not describe
+     * the row after the latest write.
      */
     private boolean isStale(ClaimEvent event) {
         if (event instanceof ClaimEvent.Committed e) {
@@ -152,9 +153,9 @@
     }
 
     /**
-     * An earlier write whose response was lost was committed. If it was the claim, the router may
-     * send; during a clean-up the row is either the target row already or the late insert to
-     * replace.
+     * Handles the commit of an earlier write whose response was lost. While claiming, the router
+     * may now send. While settling, the row is either the target row or a late insert, which is
+     * replaced.
      */
     private List<ClaimAction> onOwnRow(ClaimRow found, long rowRevision, long nowMs) {
         if (phase == Phase.CLAIMING) {
@@ -197,7 +198,8 @@
             boolean isExhausted = writeAttempts >= policy.maxTries() || nowMs >= deadlineMs;
             return isExhausted ? giveUp(nowMs) : ImmutableList.of(nextWrite(nowMs));
         }
-        // No caller waits any more. An unchanged row reports MAY_HAVE_RUN to others, which is safe.
+        // No caller waits any more. An unchanged row reports MAY_HAVE_RUN to other routers, which
+        // is safe.
         return nowMs >= settleUntilMs ? close() : ImmutableList.of(nextWrite(nowMs));
     }
 
@@ -206,7 +208,8 @@
      *
      * <p>The insert may be committed after this refusal. This claim never permits a send again, so
      * the request does not run; but the row would block later submissions. Therefore a released row
-     * is written under the same check: whichever is committed first, the other one fails.
+     * is written under the same check: of the insert and the released row, the write that is
+     * committed second fails.
      */
     private List<ClaimAction> giveUp(long nowMs) {
         ClaimAction refusal =
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
@@ -5,11 +5,11 @@
 
 /** The status of a claim as stored in its row. */
 public enum ClaimStatus {
-    /** The owner may send or has sent; no other router ever may. */
+    /** The owner may send or has sent; other routers must not send. */
     CLAIMED(false, Verdict.MAY_HAVE_RUN),
     /** Nothing was or will be sent under this claim; any router may claim the request again. */
     RELEASED(true, Verdict.NOT_RUN),
-    /** The request ended; the row holds its verdict. */
+    /** The request ended; the row contains its verdict. */
     DONE(false, Verdict.MAY_HAVE_RUN);
 
     private final boolean claimable;
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimSweep.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimSweep.java
@@ -14,9 +14,9 @@
  * <p>The holder of the domain's lease reads the page after {@link #nextPageAfter}, passes it to
  * {@link #onPage} and commits the returned transaction. A row is deleted only at the revision that
  * was read, so a row that was claimed again in the meantime is kept, and two concurrent sweeps do
- * no harm; after a conflict the next round handles the row. Ages are in wall time, so the routers'
- * clocks must agree far better than the retention less the time for which a claim permits sending.
- * Owned by the control thread.
+ * no harm; after a conflict the next round handles the row. Ages are in wall time. The difference
+ * between the routers' clocks must therefore be much smaller than the retention minus the time for
+ * which a claim permits sending. Owned by the control thread.
  */
 public final class ClaimSweep {
     /** Minimum ratio of the retention to the time for which a claim permits sending. */
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Returns whether the row is old; a row that can't be read is kept, since deleting it would let
-     * its request run again.
+     * Returns whether the row is old. A row that can't be read is kept, since its request could run
+     * again after a deletion.
      */
     private boolean isOld(Row row, long wallMs) {
         try {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimWrite.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWrite.java
@@ -11,7 +11,7 @@
  * @param ticket number of the write within its claim; an outcome with an older ticket is stale
  * @param expectedRevision revision that the row must have
  * @param notBeforeMs earliest start time of the write
- * @param isUrgent whether a caller waits for it
+ * @param isUrgent whether a caller waits for the write
  */
 public record ClaimWrite(
         RowKey key,
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimWriteRequest.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteRequest.java
@@ -26,7 +26,10 @@
         checkNotNull(row, "row");
     }
 
-    /** Returns the message for {@code item}, or empty if it is too long for a message. */
+    /**
+     * Returns the message for {@code item}, or empty if the key or the row is too long for a
+     * message.
+     */
     static Optional<ClaimWriteRequest> of(BatchItem item) {
         ClaimWrite w = item.write();
         ClaimWriteRequest m =
@@ -48,7 +51,8 @@
      * Returns the write that the writer queues under its own {@code number}.
      *
      * <p>A row of a later version may contain fields that this version would drop; for such a row
-     * the method throws an {@link IllegalArgumentException}, and the claimant writes it itself.
+     * the method throws an {@link IllegalArgumentException}, and the claimant writes the row
+     * itself.
      */
     BatchItem toItem(long number, long nowMs) {
         ClaimRow decoded = ClaimRow.decode(row);
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimWriteResponse.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteResponse.java
@@ -12,7 +12,7 @@
  *
  * @param number revision if committed or conflicted, otherwise the delay before a retry in
  *     milliseconds
- * @param value value of the conflicting row; empty if it is absent or there was no conflict
+ * @param value value of the conflicting row; empty if the row is absent or there was no conflict
  */
 record ClaimWriteResponse(Kind kind, long number, String value) implements PeerMessage {
     /** Outcomes, encoded by ordinal on the wire; append only. */
--- a/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
@@ -58,7 +58,7 @@
 
     /**
      * Delegates {@code item} to a writer, now or at its start time; returns false if this router
-     * has to write it itself.
+     * has to write the row itself.
      */
     boolean delegate(BatchItem item) {
         long now = clock.nowMs();
@@ -81,7 +81,7 @@
         scheduleExpiry(key, limits.outcomeWaitMs());
     }
 
-    /** Notifies {@code claimant} that this router queued its write. */
+    /** Notifies {@code claimant} that this router queued the claimant's write. */
     void sendAccepted(RouterId claimant, ClaimWriteId key) {
         links.sendAccepted(claimant, new ClaimWriteAccepted(key));
     }
--- a/masticweir/src/main/java/org/masticweir/claims/PeerWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/PeerWrites.java
@@ -11,8 +11,8 @@
 import org.masticweir.time.Clock;
 
 /**
- * Queues writes of the domain's other routers together with this router's own, and responds to
- * them.
+ * Queues writes of the domain's other routers together with this router's own writes, and responds
+ * to the other routers.
  *
  * <p>A write that can't be made soon is refused at once, so that its claimant can refuse its caller
  * or write the row itself. Writes of a claimant that no longer waits are not tracked: a late write
@@ -41,7 +41,7 @@
             reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.OVERLOADED, queueMs));
             return false;
         }
-        // Numbers of peer writes are negative so that they never equal those of own claims.
+        // Numbers of peer writes are negative and therefore never equal numbers of own claims.
         long number = lastNumber - 1;
         BatchItem item;
         try {
@@ -61,7 +61,9 @@
         return true;
     }
 
-    /** Forwards the outcome of a peer's write; returns false if the write is not a peer's. */
+    /**
+     * Forwards the outcome of a peer's write; returns false for one of this router's own writes.
+     */
     boolean respond(BatchEvent event) {
         Reply reply = repliesByNumber.remove(event.claim());
         if (reply == null) {
--- a/masticweir/src/main/java/org/masticweir/claims/SharedWriteLimits.java
+++ b/masticweir/src/main/java/org/masticweir/claims/SharedWriteLimits.java
@@ -3,7 +3,7 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * When claims are written by one writer of the domain, and the timeouts for that writer.
+ * Determines when one writer of the domain writes all claims, and the timeouts for this writer.
  *
  * @param shareAbove number of serving routers in the domain above which claims are delegated to a
  *     writer
@@ -21,7 +21,7 @@
      */
     static final long MAX_QUEUE_MS = 400;
 
-    /** Allowance for the response's hop and the control threads on the way. */
+    /** Allowance for the network transfer of the response and for delays on the control threads. */
     private static final long SLACK_MS = 100;
 
     public SharedWriteLimits {
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Returns limits with an outcome timeout as long as a healthy writer may take.
+     * Returns limits whose outcome timeout is the maximum response time of a healthy writer.
      *
      * @param tableTimeoutMs timeout of a writer's call to the table
      */
--- a/masticweir/src/main/java/org/masticweir/claims/WriteBudget.java
+++ b/masticweir/src/main/java/org/masticweir/claims/WriteBudget.java
@@ -25,7 +25,7 @@
         tokens--;
     }
 
-    /** Returns the time at which a token is available if none is spent before. */
+    /** Returns the time at which a token becomes available if no token is spent until then. */
     long nextTokenMs(long nowMs) {
         fill(nowMs);
         return tokens >= 1 ? nowMs : nowMs + (long) Math.ceil((1 - tokens) / tokensPerMs);
--- a/masticweir/src/main/java/org/masticweir/claims/WriteDelegation.java
+++ b/masticweir/src/main/java/org/masticweir/claims/WriteDelegation.java
@@ -17,10 +17,10 @@
  * have an outcome or time out.
  *
  * <p>All routers of a domain rank each other by rendezvous hashing, without a lease, and the first
- * one writes for all. Correctness does not depend on this: each write carries its claimant's nonce
- * and expected revision, so two concurrent writers, a writer crash and a late write have the same
- * effects as a lost response of the table, and {@link ClaimStateMachine} handles them in the same
- * way.
+ * router in rank writes for all routers. Correctness does not depend on this choice: each write
+ * carries its claimant's nonce and expected revision, so two concurrent writers, a writer crash and
+ * a late write have the same effects as a lost response of the table, and {@link ClaimStateMachine}
+ * handles them in the same way.
  *
  * <p>Not thread-safe: owned by the control thread.
  */
@@ -30,7 +30,10 @@
 
     private static final int MAX_DOUBLINGS = 3;
 
-    /** A delegated write, whether the writer accepted it, and the time at which it expires. */
+    /**
+     * A delegated write, whether the writer accepted the write, and the time at which the wait
+     * expires.
+     */
     private record PendingWrite(
             BatchItem item, RouterId writer, boolean isAccepted, long expiresAtMs) {
         /**
@@ -61,7 +64,7 @@
      * <p>A retry that a caller waits for is written locally: it follows an unknown outcome, and a
      * second delegation with an unknown outcome would use up the caller's time.
      *
-     * @param serving serving routers of the domain, including this one if it serves
+     * @param serving serving routers of the domain, including this router if it serves
      */
     Optional<RouterId> writerFor(ClaimWrite write, Collection<RouterId> serving, long nowMs) {
         boolean isRetry = write.isUrgent() && write.ticket() > 1;
@@ -159,9 +162,9 @@
      * Stops selecting {@code writer} for a time and reports an unknown outcome to all pending
      * writes there that callers wait for.
      *
-     * <p>Without this, if the writer's calls to the table get no response, it responds to one write
-     * after 500 ms, and the callers of the writes in its queue would wait as long again. A
-     * redundant write does no harm.
+     * <p>Without this, if the writer's calls to the table get no response, the writer responds to
+     * the first write after 500 ms, and the callers of the writes in its queue would wait for
+     * another 500 ms. A redundant write does no harm.
      */
     private List<DelegationAction> excludeWriter(
             RouterId writer, DelegationAction first, long nowMs) {
@@ -186,8 +189,8 @@
     }
 
     /**
-     * Many failed writes of one failure count once: only the first one finds the writer not yet
-     * excluded.
+     * Excludes {@code writer}; all failed writes of one failure count once, since the first failed
+     * write excludes the writer.
      */
     private void exclude(RouterId writer, long nowMs) {
         if (isExcluded(writer, nowMs)) {
--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
@@ -21,12 +21,12 @@
 /**
  * Admits new requests, queues them or refuses them, based on the targets of their class.
  *
- * <p>Usage: {@link #offer} each request; send it on {@link Admitted} and call {@link #markSent}
- * once {@code InFlight} counts it; call {@link #tick} every few milliseconds to decide on queued
- * requests; call {@link #markFinished} when an admitted request ends in any way.
+ * <p>Usage: {@link #offer} each request. After {@link Admitted}, send the request and call {@link
+ * #recordSend} once {@code InFlight} counts the request. Call {@link #tick} every few milliseconds
+ * to decide on queued requests. Call {@link #recordEnd} when an admitted request ends in any way.
  *
- * <p>Without this, the queue would grow in overload until every request in it is answered too late.
- * A request is refused as soon as it is predicted to miss its target, so the queue holds only
+ * <p>Without this, the queue would grow in overload until every queued request is answered too
+ * late. A request is refused as soon as it is predicted to miss its target, so the queue holds only
  * requests that can still be served in time.
  *
  * <p>Thread-safe: each call holds one lock for a short time.
@@ -36,15 +36,16 @@
     private static final int TEAM_QUEUE_DIVISOR = 4;
 
     /**
-     * Queue entries beyond the limit for teams with nothing queued, so that other teams can't block
-     * them.
+     * Additional queue entries for teams without queued requests, so that other teams can't block
+     * these teams.
      */
     private static final int RESERVED_FOR_IDLE_TEAMS = 512;
 
     private static final int MAX_RUNNING = 16_384;
 
     /**
-     * Model versions with a queue. A deployment has few; a larger number is an error of the caller.
+     * Maximum number of model versions with a queue. A deployment has few, so a larger number is an
+     * error of the caller.
      */
     private static final int MAX_MODELS = 256;
 
@@ -97,7 +98,7 @@
                 capacity, teamWeights, waitingRecoveryCount, random, LimitSettings.defaults());
     }
 
-    /** Decides on {@code r}. It is an error to offer a request again that has not finished. */
+    /** Decides on {@code r}. A request must not be offered again before it has ended. */
     public synchronized AdmissionDecision offer(AdmissionRequest r, long nowMs) {
         checkNotNull(r, "r");
         checkArgument(!isTracked(r.id()), "request %s offered twice", r.id());
@@ -121,8 +122,8 @@
     }
 
     /**
-     * Marks an admitted request as sent; call it once the capacity source counts the request as
-     * well.
+     * Marks an admitted request as sent; call this method once the capacity source counts the
+     * request as well.
      */
     public synchronized void recordSend(RequestId id) {
         RunningRequest run = runningRequests.get(checkNotNull(id, "id"));
@@ -145,8 +146,8 @@
     }
 
     /**
-     * Decides on the queued requests: refuses those that would be late, then admits as many as
-     * there are free slots for.
+     * Decides on the queued requests: refuses the requests that would be late, then admits further
+     * requests while slots are free.
      */
     public synchronized ImmutableList<AdmissionDecision> tick(long nowMs) {
         ImmutableList.Builder<AdmissionDecision> decisions = ImmutableList.builder();
--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionRequest.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionRequest.java
@@ -9,10 +9,11 @@
 import org.masticweir.id.TeamId;
 
 /**
- * A new request that asks for admission; immutable.
+ * A new request to be admitted, queued or refused; immutable.
  *
  * @param maxTokens maximum number of tokens of the answer, at least 1
- * @param receivedAtMs time at which the first router received it; its targets count from then
+ * @param receivedAtMs time at which the first router received the request; its targets are relative
+ *     to this time
  */
 public record AdmissionRequest(
         RequestId id,
--- a/masticweir/src/main/java/org/masticweir/limits/Capacity.java
+++ b/masticweir/src/main/java/org/masticweir/limits/Capacity.java
@@ -6,10 +6,11 @@
  * The capacity that the engines of one model version have for this router now; immutable.
  *
  * @param engines engines that may take new requests
- * @param freeSlots slots in their batches that this router may fill now; below 0 if it has
- *     overfilled them
- * @param reachableSlots slots it could fill at once if all were free
- * @param fairShareSlots its even share of all slots, which limits its long-term throughput
+ * @param freeSlots slots in the batches of the engines that this router may fill now; below 0 if
+ *     this router has overfilled the batches
+ * @param reachableSlots slots that this router could fill at once if all slots were free
+ * @param fairShareSlots this router's even share of all slots, which limits the router's long-term
+ *     throughput
  * @param holdMs mean time that a sequence occupies its slot, in ms
  * @param prefillTokensPerMs prompt tokens that one engine computes per millisecond
  * @param stepMs time between two tokens at full load, in ms
--- a/masticweir/src/main/java/org/masticweir/limits/ClassQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ClassQueue.java
@@ -14,7 +14,7 @@
  * The queued requests of one class, shared fairly between teams; not thread-safe.
  *
  * <p>Weighted fair queueing on tokens: the team with the fewest tokens per weight is served next. A
- * team that was idle starts at the current virtual time, so it can't accumulate credit.
+ * team that was idle starts at the current virtual time, so idle teams can't accumulate credit.
  */
 final class ClassQueue {
     private static final int MAX_IDLE_TEAMS = 512;
@@ -27,7 +27,8 @@
     private final Map<TeamId, TeamQueue> queuesByTeam = new LinkedHashMap<>();
 
     /**
-     * Virtual times of teams without requests, kept while they are ahead of {@link #virtualTime}.
+     * Virtual times of teams without requests; a time is kept while it is ahead of {@link
+     * #virtualTime}.
      */
     private final Map<TeamId, Double> idleVirtualTimes = new LinkedHashMap<>();
 
@@ -90,7 +91,7 @@
         servedSlotMs += slotMs;
     }
 
-    /** Raises the virtual time of a class that was idle to at least {@code level}. */
+    /** Raises the virtual time of a class that was idle to at least {@code minVirtualTime}. */
     void advanceTo(double minVirtualTime) {
         servedSlotMs = Math.max(servedSlotMs, minVirtualTime);
     }
@@ -105,12 +106,12 @@
     }
 
     /**
-     * Returns how many requests are served before {@code r} if its team has {@code ownAhead} before
-     * it.
+     * Returns how many requests are served before {@code r} if the team of {@code r} has {@code
+     * ownAhead} earlier requests.
      *
-     * <p>Compares the virtual times of the teams. An estimate from the weights alone assumes that
-     * the only request of a small team waits for many requests of a large team, and refuses it
-     * although it would be served next.
+     * <p>Compares the virtual times of the teams. An estimate from the weights alone would assume
+     * that the only request of a small team waits for many requests of a large team. This request
+     * would be refused although it would be served next.
      */
     double requestsAhead(AdmissionRequest r, int ownAhead) {
         double perRequest = r.maxTotalTokens() / weight.applyAsDouble(r.team());
@@ -128,7 +129,8 @@
     }
 
     /**
-     * Returns the virtual time of {@code team}, or the one it would get if it queued a request now.
+     * Returns the virtual time of {@code team}. For a team without requests, returns the start time
+     * of a request that is queued now.
      */
     private double virtualTimeOf(TeamId team) {
         TeamQueue queue = queuesByTeam.get(team);
@@ -151,7 +153,7 @@
     }
 
     /**
-     * Returns up to {@code max} teams with requests; repeated calls return all of them in rotation.
+     * Returns up to {@code max} teams with requests; repeated calls return all teams in rotation.
      */
     ImmutableList<TeamId> nextTeams(int max) {
         ImmutableList<TeamId> all = waitingTeams();
@@ -182,8 +184,8 @@
 
     /**
      * Keeps the virtual time of a team that became idle. Without this, a team that queues one
-     * request at a time would start at the current virtual time each time and never be charged for
-     * the one before.
+     * request at a time would start each request at the current virtual time and would never be
+     * charged for the previous request.
      */
     private void storeIdleTeam(TeamId team, double servedPerWeight) {
         idleVirtualTimes.values().removeIf(t -> t <= virtualTime);
--- a/masticweir/src/main/java/org/masticweir/limits/HeadWaitEstimate.java
+++ b/masticweir/src/main/java/org/masticweir/limits/HeadWaitEstimate.java
@@ -4,18 +4,19 @@
  * Recent mean time that the first request of a class queue waits until it is admitted; not
  * thread-safe.
  *
- * <p>The measured time includes the slots that other classes take and later requests that are
- * served first, so these need no model.
+ * <p>The measured time includes the effects of other classes, which use slots, and of later
+ * requests that are served first. These effects therefore need no model.
  */
 final class HeadWaitEstimate {
     private static final double SMOOTHING = 0.1;
 
-    /** A current wait above this multiple of the mean is the better estimate. */
+    /** Multiple of the mean above which a current wait is the better estimate. */
     private static final double OVERDUE_FACTOR = 3;
 
     /**
      * Time in which the weight of the mean decays to 1/e without new samples, in ms. Without decay,
-     * a queue that refuses every request that would wait would get no samples to correct the mean.
+     * a mean that is too high could make a queue refuse all requests. The queue would then get no
+     * samples to correct the mean.
      */
     private static final double DECAY_MS = 5_000;
 
@@ -39,8 +40,9 @@
     /**
      * Returns the expected wait of the first request, or {@code fallbackMs} without recent samples.
      *
-     * <p>A long wait counts before it has ended. Without this, when engines stop taking requests,
-     * the mean of better times would let a queue grow that is not served.
+     * <p>A wait in progress also counts if it is long. Without this, if engines stop accepting
+     * requests, the mean of earlier samples would stay low and the queue would grow although no
+     * request is served.
      */
     double expectedMs(double fallbackMs, boolean isWaiting, long nowMs) {
         double freshness = meanMs > 0 ? Math.exp(-(nowMs - lastServedAtMs) / DECAY_MS) : 0;
--- a/masticweir/src/main/java/org/masticweir/limits/LatencySensitiveClasses.java
+++ b/masticweir/src/main/java/org/masticweir/limits/LatencySensitiveClasses.java
@@ -5,16 +5,16 @@
  * thread-safe.
  *
  * <p>A class is latency-sensitive if its target for the first token and the hold time of its
- * requests are both far below the time that a slot stays occupied. Such a class would be late if it
- * waited for its turn among longer requests, whatever its share, and serving it first costs the
- * other classes little. A class with long requests is not latency-sensitive, however short its
- * target.
+ * requests are both far below the time that a slot stays occupied. If such requests waited for
+ * longer requests, they would be late, whatever the share of their class. Serving these requests
+ * first costs the other classes little. A class with long requests is not latency-sensitive,
+ * however short its target.
  *
  * <p>Prevents late lookups while reports occupy all slots for seconds. Without this, lookups get
- * every slot that becomes free, but these are too few, and a third of the lookups is late or
- * refused. Other classes therefore leave slots free, and a few latency-sensitive requests may wait
- * within the engines, which serve the lower priority number first as soon as a slot becomes free; a
- * router detects a free slot only with the next report.
+ * every slot that becomes free, but too few slots become free, and a third of the lookups is late
+ * or refused. Other classes therefore leave slots free, and a few latency-sensitive requests may
+ * wait within the engines, which serve the lower priority number first as soon as a slot becomes
+ * free; a router detects a free slot only with the next report.
  */
 final class LatencySensitiveClasses {
     /**
@@ -23,7 +23,9 @@
      */
     private static final double MAX_HOLD_RATIO = 0.25;
 
-    /** Target below which a class is urgent, as a fraction of the same time. */
+    /**
+     * Target below which a class is urgent, as a fraction of the time that a slot stays occupied.
+     */
     private static final double MAX_TARGET_RATIO = 0.5;
 
     /** How long headroom is kept after the last latency-sensitive arrival. */
@@ -50,13 +52,12 @@
     }
 
     /**
-     * Returns the slots that {@code r} may fill beyond the free ones; below 0 if it has to leave
-     * some free.
+     * Returns the slots that {@code r} may fill beyond the free ones; below 0 if {@code r} has to
+     * leave some slots free.
      *
      * <p>Prevents that the burst of one team fills all slots for the whole run time of its
-     * requests. A small team gets the next slot, but none becomes free within a good part of its
-     * target, and its request is refused. Longer requests of a team above its share therefore leave
-     * headroom too.
+     * requests. A small team gets the next slot, but no slot becomes free in time, and its request
+     * is refused. Longer requests of a team above its share therefore leave headroom too.
      */
     double extraSlots(
             AdmissionRequest r, ClassQueue q, Capacity capacity, boolean isTeamOverShare) {
--- a/masticweir/src/main/java/org/masticweir/limits/LimitSettings.java
+++ b/masticweir/src/main/java/org/masticweir/limits/LimitSettings.java
@@ -5,8 +5,8 @@
 import org.masticweir.settings.DaemonSettings;
 
 /**
- * Settings of the limits, from the daemon's settings; each switch turns one mechanism off for
- * comparison.
+ * Settings of the limits, from the daemon's settings; each boolean setting disables one mechanism
+ * for comparison.
  *
  * <p>Immutable.
  */
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Returns whether classes get equal shares of slot time; otherwise requests are served in order
+     * Returns whether classes get equal shares of slot time; if not, requests are served in order
      * of arrival.
      */
     boolean hasClassShares() {
@@ -60,27 +60,33 @@
         return settings.maxQueued();
     }
 
-    /** Returns the share of the slots that is reserved for latency-sensitive classes. */
+    /** Returns the fraction of the slots that is reserved for latency-sensitive classes. */
     double headroomFraction() {
         return hasClassShares() ? settings.headroomPercent() / PERCENT : 0;
     }
 
-    /** Returns the share of the slots that teams above their fair share leave free for others. */
+    /**
+     * Returns the fraction of the slots that teams above their fair share leave free for other
+     * teams.
+     */
     double teamHeadroomFraction() {
         return hasFairShares() ? settings.headroomPercent() / PERCENT : 0;
     }
 
-    /** Returns the share of the slots that latency-sensitive classes may send beyond all slots. */
+    /**
+     * Returns the number of requests of latency-sensitive classes that may be sent beyond all
+     * slots, as a fraction of the slots.
+     */
     double overcommitFraction() {
         return hasClassShares() ? settings.overcommitPercent() / PERCENT : 0;
     }
 
-    /** Returns the multiple of its even share of the free slots that a router may fill. */
+    /** Returns the multiple of an even share of the free slots that one router may fill. */
     double burstFactor() {
         return settings.burstPercent() / PERCENT;
     }
 
-    /** Returns the share of the router's slots on which recoveries may start at a time. */
+    /** Returns the fraction of the router's slots on which recoveries may start at a time. */
     double recoveryFraction() {
         return settings.recoverySharePercent() / PERCENT;
     }
--- a/masticweir/src/main/java/org/masticweir/limits/ModelLoad.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelLoad.java
@@ -28,7 +28,7 @@
         return runningCount;
     }
 
-    /** Returns the number of admitted requests that the capacity source does not count yet. */
+    /** Returns the number of admitted requests that the capacity source does not yet count. */
     int unsentCount() {
         return unsentCount;
     }
--- a/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
@@ -16,15 +16,15 @@
  * a class that was idle starts at the current virtual time. A class that needs less than its share
  * waits for at most one slot, however many requests the other classes queue.
  *
- * <p>Prevents that in overload a class with a short target takes all slots and classes with longer
- * targets get none, though they need few. An order by target or deadline has this fault, since a
- * full queue of the former class is always more urgent than the latter.
+ * <p>Prevents starvation of classes with longer targets. If requests were ordered by target or
+ * deadline, the full queue of a class with a short target would always be more urgent in overload.
+ * This class would use all slots, and the other classes would get none, though they need few.
  */
 final class ModelQueue {
     /** Key of the common queue when classes are not separated. */
     private static final WorkClassId ALL_CLASSES = WorkClassId.of("all");
 
-    /** Share of the current head's wait that remains, on average. */
+    /** Mean fraction of the current first request's wait that remains. */
     private static final double REMAINING_WAIT_SHARE = 0.5;
 
     /** Teams of a class for which one tick computes predictions. */
@@ -129,8 +129,8 @@
     /**
      * Charges a class the recent mean time that its requests occupy a slot.
      *
-     * <p>The maximum token count of a request would charge the class for tokens that its callers
-     * request but don't get: two classes with the same maximum may differ ten times in their usage.
+     * <p>The maximum token count of a request includes tokens that the caller requests but doesn't
+     * get: the usage of two classes with the same maximum may differ by a factor of ten.
      */
     private void charge(ClassQueue q, AdmissionRequest r, Capacity capacity) {
         virtualTime = Math.max(virtualTime, q.servedSlotMs());
@@ -198,10 +198,10 @@
     /**
      * Removes the requests of one team that are predicted to be late.
      *
-     * <p>Checks only the team's first and last request, until both are in time: the first has the
-     * least time left, the last waits longest, and each one in between reaches the front before it
-     * is due. Without class shares the latter does not hold; late requests then stay until they
-     * reach the front.
+     * <p>Checks only the team's first and last request, until both are in time: the first request
+     * has the least time left, the last request waits longest, and each request in between reaches
+     * the front before its deadline. Without class shares, requests in between may reach the front
+     * too late; such requests stay queued until then.
      */
     private void removeLate(
             ClassQueue q, TeamId id, Capacity capacity, long nowMs, List<AdmissionRequest> late) {
--- a/masticweir/src/main/java/org/masticweir/limits/Prediction.java
+++ b/masticweir/src/main/java/org/masticweir/limits/Prediction.java
@@ -1,8 +1,6 @@
 package org.masticweir.limits;
 
-/**
- * Predicted times until the first token and the end of a request if it were queued now; immutable.
- */
+/** Predicted times until the first token and the end of a request that is queued now; immutable. */
 record Prediction(double waitMs, double firstTokenMs, double finishMs) {
     /**
      * Predicts the times of {@code r}, which is sent after {@code waitMs} and does not wait in the
--- a/masticweir/src/main/java/org/masticweir/limits/RecoveryAdmissionController.java
+++ b/masticweir/src/main/java/org/masticweir/limits/RecoveryAdmissionController.java
@@ -22,10 +22,11 @@
 /**
  * Starts recoveries before new requests, but only a limited number at a time.
  *
- * <p>Prevents that after the loss of a rack all its generations are sent to the remaining engines
- * at once: each is recomputed from its first token, all remaining engines are busy with prefill,
- * and their own streams stall and are considered lost in turn. A recovery counts as starting until
- * its first new token, and starting recoveries may use only a share of this router's slots.
+ * <p>Without this, all generations of a lost rack would be sent to the remaining engines at once.
+ * Each generation is recomputed from its first token. The remaining engines would be busy with
+ * prefill, and their own streams would stall and be considered lost in turn. A recovery counts as
+ * starting until its first new token, and starting recoveries may use only a fraction of this
+ * router's slots.
  *
  * <p>Thread-safe: each call holds one lock for a short time.
  */
@@ -64,7 +65,10 @@
         return create(capacity, LimitSettings.defaults());
     }
 
-    /** Decides on a lost generation; if its recovery was already starting, it was lost again. */
+    /**
+     * Decides on a lost generation. A recovery that was already starting was lost again and is
+     * decided on anew.
+     */
     public synchronized RecoveryDecision offer(RecoveryRequest r, long nowMs) {
         checkNotNull(r, "r");
         recordEnd(r.generation());
--- a/masticweir/src/main/java/org/masticweir/limits/RecoveryRequest.java
+++ b/masticweir/src/main/java/org/masticweir/limits/RecoveryRequest.java
@@ -12,7 +12,7 @@
  *
  * @param contextTokens tokens of the prompt and the accepted output, recomputed before the next
  *     token
- * @param dueMs time at which its whole answer is due
+ * @param dueMs deadline of the whole answer
  */
 public record RecoveryRequest(
         GenerationId generation,
--- a/masticweir/src/main/java/org/masticweir/limits/RetrySchedule.java
+++ b/masticweir/src/main/java/org/masticweir/limits/RetrySchedule.java
@@ -5,9 +5,10 @@
 /**
  * Computes the retry delays of refused callers so that they don't retry at the same time.
  *
- * <p>Prevents that callers refused within one second retry within one second and are refused again.
- * Each refusal reserves the next time at which one more request could be served, so the delay grows
- * with the number of queued and refused requests; jitter spreads retries that would still coincide.
+ * <p>Without this, callers refused within one second would retry within one second and be refused
+ * again. Each refusal reserves the next time at which one more request could be served, so the
+ * delay grows with the number of queued and refused requests; jitter spreads retries that would
+ * still coincide.
  *
  * <p>Not thread-safe.
  */
@@ -23,7 +24,7 @@
         this.random = random;
     }
 
-    /** Returns the retry delay when the queue holds {@code backlogMs} of work. */
+    /** Returns the retry delay for a queue whose requests take {@code backlogMs} to serve. */
     long reserve(double backlogMs, double serviceIntervalMs, long nowMs) {
         double start = Math.max(reservedUntilMs, nowMs + backlogMs);
         reservedUntilMs = Math.min(start + serviceIntervalMs, nowMs + MAX_RETRY_AFTER_MS);
--- a/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
+++ b/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
@@ -14,13 +14,13 @@
 /**
  * Computes capacity from the current routing snapshot and this router's own sends.
  *
- * <p>Prevents that all routers see the same free slots in the same report and all fill them. Each
- * router fills only a share of them. It is larger than an even share, since requests arrive in
+ * <p>Without this, all routers would fill the same free slots of the same report. Each router fills
+ * only a share of the free slots. This share is larger than an even share, since requests arrive in
  * bursts and seldom at all routers at once. Sends since the report count in full.
  *
  * <p>Prevents a permanent queue within the engines: if the routers together send too many
  * sequences, each router replaces its own sequences as they end and the queue never shrinks. Each
- * router therefore subtracts its even share of the sequences that wait there.
+ * router therefore subtracts its even share of the sequences that wait in the engines.
  *
  * <p>Thread-safe.
  */
@@ -29,7 +29,7 @@
     private final InFlight inFlight;
     private final IntSupplier routerCount;
 
-    /** Multiple of its even share of the free slots that one router may fill from one report. */
+    /** Multiple of an even share of the free slots that one router may fill after one report. */
     private final double burstFactor;
 
     private SnapshotCapacity(
--- a/masticweir/src/main/java/org/masticweir/limits/TeamShares.java
+++ b/masticweir/src/main/java/org/masticweir/limits/TeamShares.java
@@ -16,10 +16,10 @@
 /**
  * Computes fair shares of teams over all routers, from usage digests of each router's top teams.
  *
- * <p>Without this, a large team that spreads its burst over all routers looks like an average team
- * on each of them. Its usage summed over the digests is above its share, and its weight is reduced
- * on every router until the usage is back within the share. A team too small for any digest keeps
- * its weight.
+ * <p>Without this, a large team that spreads its burst over all routers would appear as an average
+ * team on each router. The sum of its usage over the digests is above its share, so its weight is
+ * reduced on every router until the usage is back within the share. A team too small for any digest
+ * keeps its weight.
  *
  * <p>Usage: call {@link #recordUsage} as tokens are produced; every second or so send {@link
  * #digest} to peers, {@link #merge} their digests and call {@link #updateWeights}. Thread-safe;
@@ -36,8 +36,8 @@
     private static final double MIN_CORRECTION = 0.05;
 
     /**
-     * Correction below which a team counts as over its share; above it the excess may be a random
-     * variation over a few seconds.
+     * Correction below which a team counts as over its share. At a higher correction, the excess
+     * may be a random variation over a few seconds.
      */
     private static final double OVER_SHARE_CORRECTION = 0.7;
 
--- a/masticweir/src/main/java/org/masticweir/quarantine/CrashRecord.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/CrashRecord.java
@@ -19,14 +19,15 @@
  * The servers that ended while they ran requests with one content; immutable.
  *
  * <p>Incarnations are added and never removed. Records of several routers can therefore be merged
- * in any order and any number of times, and a server counts once, no matter which routers lost it.
+ * in any order and any number of times. Each lost server counts once, even if several routers
+ * observed its loss.
  *
  * @param losses one loss for each incarnation that ended while it began to run the content
  * @param withdrawn incarnations whose losses no longer count
  */
 public record CrashRecord(
         ContentId content, ImmutableList<Loss> losses, ImmutableSet<ServerIncarnation> withdrawn) {
-    /** Maximum number of incarnations in each list; more than are ever counted. */
+    /** Maximum number of incarnations in each list; larger than any count that a decision needs. */
     public static final int MAX_INCARNATIONS = 32;
 
     public CrashRecord {
@@ -43,7 +44,7 @@
         return new CrashRecord(content, ImmutableList.of(), ImmutableSet.of());
     }
 
-    /** Returns the losses that were not withdrawn, ordered by the time of their ends. */
+    /** Returns the losses that were not withdrawn, ordered by the end times of the servers. */
     public ImmutableList<Loss> countedLosses() {
         return losses.stream()
                 .filter(l -> !withdrawn.contains(l.life()))
@@ -55,9 +56,9 @@
      * Returns how many crashes of servers are attributed to the content.
      *
      * <p>Prevents a quarantine after the loss of a domain: many callers may send one content, and
-     * all servers that had begun to run it end at the same time. Of the servers to which the
-     * content was sent before the first of them ended, only one counts, as they may share another
-     * cause.
+     * all servers that had begun to run this content end at the same time. Servers that received
+     * the content before the first of these servers ended count as one crash, since all of these
+     * losses may have another common cause.
      */
     public int crashCount() {
         int crashes = 0;
--- a/masticweir/src/main/java/org/masticweir/quarantine/CrashUpdate.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/CrashUpdate.java
@@ -28,7 +28,7 @@
         contents = ImmutableList.copyOf(contents);
     }
 
-    /** Returns the codec of these messages under the number {@code type}. */
+    /** Returns the codec of crash updates with message type {@code type}. */
     public static MessageCodec<CrashUpdate> codec(int type) {
         return FieldsCodec.of(
                 type,
--- a/masticweir/src/main/java/org/masticweir/quarantine/Loss.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/Loss.java
@@ -8,7 +8,8 @@
 /**
  * The end of a server that had begun to run a request; immutable.
  *
- * @param sentMs when the request was sent there
+ * @param life incarnation of the server that ended
+ * @param sentMs when the request was sent to the server
  * @param endedMs when the server ended
  */
 public record Loss(ServerIncarnation life, long sentMs, long endedMs) {
@@ -19,7 +20,8 @@
     private static final long COMMON_CAUSE_MS = 250;
 
     /**
-     * Time before its end by which a server must have been sent a request to have begun it, in ms.
+     * Minimum time between the send of a request and the end of its server, in ms. A request sent
+     * later is assumed not to have begun to run.
      */
     private static final long MIN_RUN_MS = 50;
 
@@ -29,11 +31,11 @@
     }
 
     /**
-     * Returns whether this loss is further evidence beside {@code earlier}.
+     * Returns whether this loss counts in addition to {@code earlier}.
      *
-     * <p>A domain may lose all its servers within some milliseconds, and a request that failed at
-     * one of them may be sent to the next one just before that one ends too. Such losses count
-     * once.
+     * <p>A domain may lose all its servers within some milliseconds. A request that failed at one
+     * server may then be sent to a second server just before the second server ends. Such losses
+     * count once.
      */
     boolean isIndependentOf(Loss earlier) {
         boolean isSentAfter = sentMs >= earlier.endedMs - CLOCK_TOLERANCE_MS;
@@ -41,7 +43,7 @@
         return isSentAfter && (isSeparate || endedMs - sentMs >= MIN_RUN_MS);
     }
 
-    /** Returns the loss of the later request, of two losses of one incarnation. */
+    /** Returns the loss with the later send time; both losses belong to one incarnation. */
     Loss laterOf(Loss other) {
         return other.sentMs > sentMs + CLOCK_TOLERANCE_MS ? other : this;
     }
--- a/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
@@ -20,43 +20,49 @@
  * by the traffic thread.
  *
  * <p>A request that crashes each server that begins to run it may be submitted again and again, at
- * any router and under new ids. Without a quarantine the evidence would be lost with each
- * submission, and each would crash as many servers as its route allows, with all requests that run
- * there. The quarantine keeps the evidence beyond the submission. After {@link #CRASH_LIMIT}
- * servers the content is held.
+ * any router and under new ids. Without a quarantine, the recorded losses would be discarded at the
+ * end of each submission. Each submission would then crash as many servers as its route allows, and
+ * all requests that run on these servers would fail. The quarantine keeps the recorded losses after
+ * the submission ends. After {@link #CRASH_LIMIT} crashes the content is put into quarantine and
+ * rejected.
  *
- * <p>After each call that may change a content, the owner sends the result of {@link #drainUpdates}
- * to the other routers.
+ * <p>A trial is a send of a suspected content: a content with at least one counted crash. While a
+ * trial runs, other requests with the same content wait.
+ *
+ * <p>After each call that may change the state of a content, the owner sends the result of {@link
+ * #drainUpdates} to the other routers.
  */
 public final class Quarantine {
-    /** Number of crashes from which on a content is held. */
+    /** Minimum number of crashes of a content in quarantine. */
     public static final int CRASH_LIMIT = 3;
 
     /**
-     * Number of crashes from which on a content is sent to the least loaded server. Most contents
-     * with one crash merely ran beside the request that caused it, and are served best by the
-     * normal choice of a server.
+     * Minimum number of crashes of a content that is sent to the least loaded server. Most contents
+     * with one crash ran on the same server as the request that caused the crash. The normal choice
+     * of a server is best for these contents.
      */
     static final int LEAST_LOADED_MIN_CRASHES = 2;
 
     /**
-     * Time from a run's first event within which the end of its server counts as evidence against
-     * its content, in ms. A content whose run lasts longer at one server is cleared.
+     * Duration of a trial from the first event of a run, in ms. If the server ends within this
+     * time, its loss is recorded for the content. After a longer run at one server the content is
+     * no longer suspected.
      */
     public static final long TRIAL_MS = 2_000;
 
-    /** Time for which a content is held when it reaches the limit, in ms. */
+    /** Duration of the quarantine of a content that has reached the limit, in ms. */
     static final long FIRST_QUARANTINE_MS = 60_000;
 
-    /** Factor by which the hold grows with each further crash. */
+    /** Factor by which the duration of the quarantine grows with each further crash. */
     private static final int QUARANTINE_GROWTH_FACTOR = 8;
 
     /**
-     * Time after the last update from a router at which its trial no longer delays others, in ms.
+     * Time after the last update from a router at which the router's trial no longer delays
+     * requests, in ms.
      */
     static final long PEER_TRIAL_EXPIRY_MS = 10_000;
 
-    /** Time for which evidence below the limit is kept after the last loss, in ms. */
+    /** Time for which losses of a content below the limit are kept after the last loss, in ms. */
     static final long SUSPECT_EXPIRY_MS = 600_000;
 
     /** Maximum number of contents; each takes some hundred bytes. */
@@ -82,7 +88,10 @@
             this.record = record;
         }
 
-        /** Returns the time of the last loss; without a loss, the time of creation. */
+        /**
+         * Returns the time of the last loss, or the creation time of this entry if there is no
+         * loss.
+         */
         long lastLossOrCreationMs() {
             return record.lastLoss().map(Loss::endedMs).orElse(createdMs);
         }
@@ -103,8 +112,8 @@
     /**
      * The state of one content, for other routers.
      *
-     * @param record with times relative to the time of sending, which is 0
-     * @param isOnTrial whether the sender has a request with the content on trial
+     * @param record record with times relative to the time of sending, which is 0
+     * @param isOnTrial whether a trial of the content runs at the sender
      */
     public record ContentUpdate(CrashRecord record, boolean isOnTrial) {
         public ContentUpdate {
@@ -120,17 +129,15 @@
     /**
      * Returns an empty quarantine.
      *
-     * @param maxQuarantineMs longest time for which a content is held; evidence is removed this
-     *     long after the last loss
+     * @param maxQuarantineMs maximum duration of a quarantine; losses are removed at this time
+     *     after the last loss
      */
     public static Quarantine create(RouterId self, long maxQuarantineMs) {
         checkArgument(maxQuarantineMs > 0, "hold of %s ms", maxQuarantineMs);
         return new Quarantine(self, maxQuarantineMs);
     }
 
-    /**
-     * Returns whether there is no evidence against any content, so that no content id is needed.
-     */
+    /** Returns whether no loss of any content is recorded; callers then need no content id. */
     public boolean isEmpty() {
         return entries.isEmpty();
     }
@@ -152,10 +159,10 @@
     }
 
     /**
-     * Returns the time for which a content is held after its last crash.
+     * Returns the duration of a quarantine after the last crash.
      *
-     * <p>Each hold ends, so that a harmless content that coincided with crashes is not rejected
-     * forever. Each hold is longer than the one before.
+     * <p>Each quarantine ends, so that a harmless content that coincided with crashes is not
+     * rejected forever. Each quarantine lasts longer than the previous one, up to the maximum.
      */
     private long quarantineMs(int crashes) {
         long durationMs = FIRST_QUARANTINE_MS;
@@ -165,13 +172,13 @@
         return Math.min(durationMs, maxQuarantineMs);
     }
 
-    /** Returns the losses that count against {@code content}. */
+    /** Returns the counted losses of {@code content}. */
     public ImmutableList<Loss> countedLosses(ContentId content) {
         Entry entry = entries.get(content);
         return entry == null ? ImmutableList.of() : entry.record.countedLosses();
     }
 
-    /** Returns the time until the hold of a quarantined content ends, in ms. */
+    /** Returns the time until the quarantine of {@code content} ends, in ms. */
     public long remainingQuarantineMs(ContentId content, long nowMs) {
         Entry entry = entries.get(content);
         return entry == null
@@ -181,8 +188,8 @@
     }
 
     /**
-     * Records that this router sends a request with {@code content}; returns whether the request is
-     * on trial, which lasts until {@link #endTrial}.
+     * Records that this router sends a request with {@code content}. Returns whether this send is a
+     * trial; the trial lasts until {@link #endTrial}.
      */
     public boolean beginTrial(ContentId content, long nowMs) {
         Entry entry = findUnexpired(content, nowMs);
@@ -195,7 +202,7 @@
         return true;
     }
 
-    /** Records the end of a send that {@link #beginTrial} put on trial. */
+    /** Records the end of a trial. */
     public void endTrial(ContentId content) {
         Entry entry = entries.get(content);
         if (entry == null || entry.ownTrials == 0) {
@@ -209,8 +216,8 @@
     }
 
     /**
-     * Records that the cause of a loss under {@code content} is being determined; requests with it
-     * wait until {@link #endInquiry}.
+     * Records that the cause of a loss under {@code content} is being determined; requests with the
+     * content wait until {@link #endInquiry}.
      */
     public void beginInquiry(ContentId content, long nowMs) {
         getOrCreate(content, nowMs).inquiries++;
@@ -239,7 +246,7 @@
                 : setRecord(entry, entry.record.withdrawAllLosses());
     }
 
-    /** Returns the contents against which the loss of {@code incarnation} counts. */
+    /** Returns the contents for which the loss of {@code incarnation} counts. */
     public ImmutableList<ContentId> contentsWithLossOf(ServerIncarnation incarnation) {
         return entries.values().stream()
                 .map(e -> e.record)
@@ -248,7 +255,7 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Records an answer of {@code incarnation}, whose end was counted against {@code content}. */
+    /** Records an answer of {@code incarnation}, whose loss was counted for {@code content}. */
     public Change recordAlive(ContentId content, ServerIncarnation incarnation, long nowMs) {
         Entry entry = findUnexpired(content, nowMs);
         return entry == null
@@ -274,7 +281,7 @@
         return merge(getOrCreate(record.content(), nowMs), record);
     }
 
-    /** Removes the trials of a router that is lost. */
+    /** Removes the trials of a lost router. */
     public void removeTrialsOf(RouterId peer) {
         entries.values().forEach(e -> e.trialsUntilMs.remove(peer));
     }
@@ -312,7 +319,10 @@
         return new ContentUpdate(entry.record.shifted(-nowMs), entry.ownTrials > 0);
     }
 
-    /** Merges without forwarding changes of other routers; this router's own remain to be sent. */
+    /**
+     * Merges a record of another router and does not forward its changes. This router's own changes
+     * remain to be sent.
+     */
     private Change merge(Entry entry, CrashRecord record) {
         boolean hasOwnUpdate = pendingUpdates.contains(record.content());
         Change change = setRecord(entry, entry.record.merge(record));
@@ -367,8 +377,8 @@
     }
 
     /**
-     * Removes expired contents, then the oldest ones below the limit, then the oldest in
-     * quarantine. Each crash costs a server, so quarantined contents are the most expensive to
+     * Removes expired contents, then the oldest contents below the limit, then the oldest contents
+     * in quarantine. Each crash costs a server, so quarantined contents are the most expensive to
      * detect again.
      */
     private void evictIfFull(long nowMs) {
--- a/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
@@ -28,12 +28,11 @@
 import org.masticweir.time.Clock;
 
 /**
- * Saves crash records in the platform's store, where they outlive all routers; owned by the control
- * thread.
+ * Saves crash records in the platform's durable store; owned by the control thread.
  *
- * <p>Without this, the loss of all routers at once would lose all evidence. A record with one
- * server is not saved: most of those are cleared soon, and without the record at most two more
- * servers end.
+ * <p>Without this, the loss of all routers at once would lose all recorded losses. A record with
+ * one server is not saved: most contents with one loss are cleared soon, and without the record at
+ * most two more servers end.
  */
 public final class QuarantineStore {
     private static final Logger LOG = LogManager.getLogger(QuarantineStore.class);
@@ -49,7 +48,10 @@
     /** Pause before a failed call is retried, in ms. */
     private static final long RETRY_MS = 500;
 
-    /** Maximum number of records to be written; a content's newest record replaces older ones. */
+    /**
+     * Maximum number of records to be written; the newest record of a content replaces its older
+     * records.
+     */
     private static final int MAX_PENDING = 4_096;
 
     private static final int PAGE_ROWS = 500;
@@ -186,9 +188,7 @@
         }
     }
 
-    /**
-     * Deletes an expired row. If this call is lost, the next router that starts deletes the row.
-     */
+    /** Deletes an expired row. If this call fails, the next router that starts deletes the row. */
     private void remove(RowKey key) {
         store.transact(Transaction.builder().delete(key).build(), CALL_TIMEOUT_MS)
                 .thenAccept(
--- a/masticweir/src/main/java/org/masticweir/quarantine/SendRule.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/SendRule.java
@@ -2,14 +2,17 @@
 
 /** Whether and where a request with a given content may be sent now. */
 public enum SendRule {
-    /** May be sent to any server: there is no or little evidence against its content. */
+    /** The request may be sent to any server: fewer than two crashes of its content are counted. */
     ANY_SERVER,
     /**
-     * May be sent to the server where a crash does the least harm: several servers ended under it.
+     * The request may be sent to the least loaded server, where a crash does the least harm:
+     * several servers ended while they ran its content.
      */
     LEAST_LOADED,
-    /** Waits: another request with its content is on trial, or a loss is being investigated. */
+    /**
+     * The request waits: a trial of its content runs, or the cause of a loss is being determined.
+     */
     WAIT,
-    /** Must not be sent: its content is in quarantine. */
+    /** The request must not be sent: its content is in quarantine. */
     REJECT
 }
--- a/masticweir/src/main/java/org/masticweir/quarantine/SharedQuarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/SharedQuarantine.java
@@ -49,7 +49,7 @@
      * Creates the quarantine of one router.
      *
      * @param broadcast sends an update to all other routers; called on the control thread
-     * @param save saves a record where it outlives the routers; called on any thread
+     * @param save saves a record in durable storage; called on any thread
      */
     public SharedQuarantine(
             Quarantine quarantine,
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Sets the listener that is called when a content becomes suspect or is put into quarantine. It
+     * Sets the listener for contents that become suspected or are put into quarantine. The listener
      * is called on the thread that made the change, outside of any lock.
      */
     public void onChange(BiConsumer<ContentId, Change> newListener) {
@@ -79,7 +79,8 @@
     /**
      * Returns whether and where a request may be sent now.
      *
-     * @param content called only while there is evidence against any content
+     * @param content supplier of the content id; called only while losses of any content are
+     *     recorded
      */
     public SendRule sendRule(Supplier<ContentId> content, long nowMs) {
         if (isEmpty) {
@@ -91,12 +92,14 @@
         }
     }
 
-    /** Returns the time until the hold of a quarantined content ends, in ms. */
+    /** Returns the time until the quarantine of {@code content} ends, in ms. */
     public synchronized long remainingQuarantineMs(ContentId content, long nowMs) {
         return quarantine.remainingQuarantineMs(content, nowMs);
     }
 
-    /** Records a send; returns whether it is on trial, which lasts until {@link #endTrial}. */
+    /**
+     * Records a send. Returns whether the send is a trial; the trial lasts until {@link #endTrial}.
+     */
     public boolean beginTrial(Supplier<ContentId> content) {
         if (isEmpty) {
             return false;
@@ -109,7 +112,7 @@
         }
     }
 
-    /** Records the end of a send that was on trial. */
+    /** Records the end of a trial. */
     public synchronized void endTrial(ContentId content) {
         quarantine.endTrial(content);
         scheduleBatch();
@@ -146,7 +149,7 @@
         }
     }
 
-    /** Records an answer of an incarnation whose end was counted. */
+    /** Records an answer of an incarnation whose loss was counted. */
     public void recordAlive(ServerIncarnation incarnation) {
         List<ContentId> contents;
         synchronized (this) {
@@ -192,7 +195,7 @@
         notifyListener(record.content(), change);
     }
 
-    /** Removes the trials of a router that is lost. */
+    /** Removes the trials of a lost router. */
     public synchronized void removeTrialsOf(RouterId peer) {
         quarantine.removeTrialsOf(peer);
     }
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimDomain.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimDomain.java
@@ -41,7 +41,7 @@
     private long tableOneWayMs = TABLE_ONE_WAY_MS;
     private boolean isTableOut;
 
-    /** The fault of a router as observed by the others. */
+    /** The fault of a router as observed by the other routers. */
     enum Fault {
         NONE,
         /** Its connections are closed. */
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
@@ -17,10 +17,10 @@
     private static final int STEPS = 250;
 
     /**
-     * Guards against a letter that is sent twice, or sent after its caller was refused. The same
-     * letter is submitted at two routers; responses of the table are lost or late, routers crash
-     * between any two steps, and the table has outages. The cause would be two claims that both
-     * permit a send, or a claim that permits one after its caller was refused.
+     * Guards against a letter that is sent twice, or that is sent after its caller was refused. The
+     * same letter is submitted at two routers; responses of the table are lost or late, routers
+     * crash between any two steps, and the table has outages. The cause would be two claims that
+     * both permit a send, or a claim that permits one after its caller was refused.
      */
     @Property(seed = "7", tries = 4_000, shrinking = ShrinkingMode.OFF)
     void runsAtMostOnceAndNotRunIsTrue(@ForAll long seed) {
@@ -30,10 +30,11 @@
     }
 
     /**
-     * The same when routers write each other's claims. Two routers act as the writer at once, one
-     * crashes with writes in its queue, and messages are lost, late, duplicated and reordered. The
-     * cause would be a late insert by a former writer that is committed after its claimant released
-     * the claim, or a response to another write that is taken for a permission.
+     * Guards against the same fault when routers write each other's claims. Two routers act as the
+     * writer at once, one crashes with writes in its queue, and messages are lost, late, duplicated
+     * and reordered. The cause would be a late insert by a former writer that is committed after
+     * its claimant released the claim, or a response to another write that is mistaken for a
+     * permission.
      */
     @Property(seed = "11", tries = 4_000, shrinking = ShrinkingMode.OFF)
     void runsAtMostOnceWithDelegatedWrites(@ForAll long seed) {
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimServiceTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimServiceTest.java
@@ -107,7 +107,7 @@
     @Nested
     class Unreachable {
         /**
-         * The claim is written and the response is lost; the caller must still get the letter,
+         * The claim is written and the response is lost; the caller must still receive the letter,
          * exactly once.
          */
         @Test
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimSharingTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimSharingTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Tests claims of a domain's routers that one of them writes, in virtual time. */
+/** Tests claims of a domain's routers that one writer writes, in virtual time. */
 class ClaimSharingTest {
     private static final int UNSHARED = 1_000;
     private static final long LOAD_MS = 20_000;
@@ -120,7 +120,10 @@
             assertAllServed(ClaimDomain.Fault.TABLE_REFUSED, SILENT_WRITER_BOUND_MS);
         }
 
-        /** The same with connections that stay open and transfer nothing. */
+        /**
+         * The writer loses its connection to the table, and the connections stay open and transfer
+         * nothing.
+         */
         @Test
         void writerCutFromTheTableInSilence() {
             assertAllServed(ClaimDomain.Fault.TABLE_SILENT, SILENT_TABLE_BOUND_MS);
@@ -153,10 +156,11 @@
         }
 
         /**
-         * The table is out for all routers: every caller is refused at once with a retry delay.
+         * The table is unavailable for all routers: every caller is refused at once with a retry
+         * delay.
          *
-         * <p>Claims must not each wait for a hop that failed; and after the outage one router
-         * writes for all again.
+         * <p>Claims must not each wait for a delegation that failed. After the outage one router
+         * writes for all routers again.
          */
         @Test
         void tableOut() {
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
@@ -200,9 +200,7 @@
         }
     }
 
-    /**
-     * A message arrives, is lost or arrives twice; or a pending write of the claimant times out.
-     */
+    /** Delivers, drops or duplicates a message, or expires a pending write of the claimant. */
     private void stepMessages(Router router) {
         if (random.nextInt(8) == 0 || messages.isEmpty()) {
             nowMs += random.nextInt(4);
--- a/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
@@ -133,7 +133,7 @@
         /*
          * Guards against timeouts of lookups in overload. Reports arrive at twice the rate that the
          * engines can serve, occupy all slots, and lookups queue behind them. Without reserved
-         * slots and refusals every queue grows.
+         * slots and refusals, every queue grows.
          */
         @Test
         void twiceTheLoadKeepsLookupsWithinTarget(TestReporter reporter) {
--- a/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
@@ -21,7 +21,7 @@
 import org.masticweir.settings.DaemonSettings;
 
 /**
- * Tests which mechanism each switch of the limits turns off; trials use these settings as
+ * Tests which mechanism each boolean setting of the limits disables; trials use these settings as
  * baselines.
  */
 class LimitTuningTest {
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
@@ -141,7 +141,7 @@
         return runs(mix, engines, Fleet.TWO, settings, ratePerS, burstPerS);
     }
 
-    /** The same with another fleet of routers. */
+    /** Replays the request mix with another fleet of routers. */
     static ImmutableList<OverloadReplay> runs(
             List<Profile> mix,
             int engines,
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
@@ -178,9 +178,9 @@
         }
 
         /*
-         * Guards against the same fault with more routers: each router receives an eighth of the
-         * burst, which is hardly above the large team's share there. Without the usage of the other
-         * routers it does not reduce the team's weight.
+         * Guards against refused reports of small teams with more routers: each router receives an
+         * eighth of the burst, which is hardly above the large team's share there. Without the
+         * usage of the other routers it does not reduce the team's weight.
          */
         @Test
         void usageExchangeKeepsTargetsWithEightRouters() {
--- a/masticweir/src/test/java/org/masticweir/limits/RecoveryAdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/RecoveryAdmissionTest.java
@@ -45,7 +45,7 @@
         /*
          * Guards against the loss of healthy streams after the loss of a rack. Without a limit on
          * starting recoveries all lost generations are sent to the remaining engines together,
-         * which then compute only prompts, so that their own streams stall and are moved too.
+         * which then only run prefill, so that their own streams stall and are moved too.
          */
         @Test
         void startsAFewAtATimeShortestTargetFirst() {
--- a/masticweir/src/test/java/org/masticweir/limits/SnapshotCapacityTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/SnapshotCapacityTest.java
@@ -48,9 +48,9 @@
 
         /*
          * Guards against reports that are admitted and late though the queue is short. Routers that
-         * saw one free slot both filled it; from then on a sequence waits within the engine, and
-         * each one that ends is replaced at once, if waiting sequences are not subtracted from the
-         * free slots.
+         * saw one free slot both filled it; from then on a sequence waits within the engine. If
+         * waiting sequences are not subtracted from the free slots, each sequence that ends is
+         * replaced at once.
          */
         @Test
         void sequencesThatWaitInEnginesReduceFreeSlotsOfAllRouters() {
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
@@ -18,7 +18,7 @@
  * arrive late, some twice and some only after a link has been restored.
  */
 final class QuarantineFleet {
-    /** Time until each router has received a loss, in ms; its link may have to come up first. */
+    /** Time until each router has received a loss, in ms; includes the time to restore a link. */
     static final long MAX_UPDATE_MS = 550;
 
     private static final long BATCH_MS = 5;
@@ -330,7 +330,9 @@
         return answered;
     }
 
-    /** Returns the number of submissions that were rejected because their content was held. */
+    /**
+     * Returns the number of submissions that were rejected because their content was in quarantine.
+     */
     int rejectedCount() {
         return rejectedCount;
     }
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleetTest.java
@@ -10,7 +10,8 @@
 import org.masticweir.id.ContentId;
 
 /**
- * Tests the damage by a crashing content, and its cost for harmless contents, with many routers.
+ * Tests with many routers how many servers a crashing content ends and how many harmless contents
+ * are rejected.
  */
 class QuarantineFleetTest {
     private static final ContentId CONTENT = ContentId.of("content");
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
@@ -63,7 +63,10 @@
             assertEquals(SendRule.REJECT, sendRule(0));
         }
 
-        /** Two routers had sent the same content to one engine, and both lost it there. */
+        /**
+         * Two routers had sent the same content to one engine, and both observed the loss of this
+         * engine.
+         */
         @Test
         void serverCountsOnceIfSeveralRoutersLostIt() {
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
@@ -89,7 +92,9 @@
             assertEquals(SendRule.REJECT, sendRule(3_000));
         }
 
-        /** The request was sent again at once, and its next server ended before it could begin. */
+        /**
+         * The request was retried at once, and its next server ended before the run could begin.
+         */
         @Test
         void serverThatEndsJustAfterAnotherDoesNotCount() {
             quarantine.recordLoss(CONTENT, new Loss(incarnation(1), 0, 1_000), 1_000);
@@ -109,7 +114,8 @@
         }
 
         /**
-         * Otherwise another server may end while the end of the last one is still being confirmed.
+         * Without this wait, another server might end while the end of the last server is still
+         * being confirmed.
          */
         @Test
         void requestsWaitDuringAnInquiry() {
@@ -160,7 +166,8 @@
         }
 
         /**
-         * Without this, a harmless content that coincided with three crashes is held for an hour.
+         * Without this, a harmless content that coincided with three crashes stays in quarantine
+         * for an hour.
          */
         @Test
         void contentIsTriedAgainAfterEachHoldWhichGrows() {
