--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
@@ -12,17 +12,17 @@
     /** The request ended; the row contains its verdict. */
     DONE(false, Verdict.MAY_HAVE_RUN);
 
-    private final boolean claimable;
+    private final boolean isClaimable;
     private final Verdict verdictWithoutOwner;
 
-    ClaimStatus(boolean claimable, Verdict verdictWithoutOwner) {
-        this.claimable = claimable;
+    ClaimStatus(boolean isClaimable, Verdict verdictWithoutOwner) {
+        this.isClaimable = isClaimable;
         this.verdictWithoutOwner = verdictWithoutOwner;
     }
 
     /** Returns whether another claim may replace this one. */
     public boolean isClaimable() {
-        return claimable;
+        return isClaimable;
     }
 
     /** Returns the verdict that the row alone proves when its owner can't be reached. */
--- a/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
@@ -35,7 +35,7 @@
     private final Clock clock;
     private final BooleanSupplier isTableUnavailable;
     private final Consumer<DelegationAction> actionHandler;
-    private Optional<RouterId> lastWriter = Optional.empty();
+    private Optional<RouterId> currentWriter = Optional.empty();
 
     DelegatedWrites(
             WriteDelegation delegation,
@@ -130,8 +130,8 @@
     }
 
     private void logWriterChange(Optional<RouterId> writer) {
-        if (!writer.equals(lastWriter)) {
-            lastWriter = writer;
+        if (!writer.equals(currentWriter)) {
+            currentWriter = writer;
             LOG.info("claims: written by {}", writer.map(RouterId::value).orElse("this router"));
         }
     }
--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
@@ -153,7 +153,7 @@
         ImmutableList.Builder<AdmissionDecision> decisions = ImmutableList.builder();
         queues.forEach((key, queue) -> tick(key, queue, nowMs, decisions));
         queues.values()
-                .removeIf(q -> q.size() == 0 && q.load().runningCount() == 0 && hasTooManyQueues());
+                .removeIf(q -> q.queuedCount() == 0 && q.load().runningCount() == 0 && hasTooManyQueues());
         return decisions.build();
     }
 
@@ -167,7 +167,7 @@
             ModelQueue queue,
             long nowMs,
             ImmutableList.Builder<AdmissionDecision> decisions) {
-        if (queue.size() == 0) {
+        if (queue.queuedCount() == 0) {
             return;
         }
         Capacity c = capacity.capacityOf(key.model(), key.version(), nowMs);
@@ -199,12 +199,12 @@
         if (c.engines() == 0 || (settings.hasPredictedRefusal() && isLate)) {
             return Optional.of(lateErrorCode(c));
         }
-        int maxQueued = settings.maxQueued();
+        int maxQueued = settings.maxQueuedRequests();
         if (settings.hasFairShares()
-                && queue.size(r.team()) >= Math.max(1, maxQueued / TEAM_QUEUE_DIVISOR)) {
+                && queue.queuedCount(r.team()) >= Math.max(1, maxQueued / TEAM_QUEUE_DIVISOR)) {
             return Optional.of(ErrorCode.OVER_LIMIT);
         }
-        boolean isTeamIdle = settings.hasFairShares() && queue.size(r.team()) == 0;
+        boolean isTeamIdle = settings.hasFairShares() && queue.queuedCount(r.team()) == 0;
         int limit = isTeamIdle ? maxQueued + RESERVED_FOR_IDLE_TEAMS : maxQueued;
         boolean isFull = queuedRequests.size() >= limit || runningRequests.size() >= MAX_RUNNING;
         return isFull ? Optional.of(ErrorCode.OVERLOADED) : Optional.empty();
--- a/masticweir/src/main/java/org/masticweir/limits/ClassQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ClassQueue.java
@@ -36,7 +36,7 @@
     private final HoldTimeEstimate holdTime = new HoldTimeEstimate();
     private double virtualTime;
     private double servedSlotMs;
-    private int size;
+    private int queuedCount;
     private int rotationStart;
 
     ClassQueue(ToDoubleFunction<TeamId> weight, LimitSettings settings) {
@@ -45,11 +45,11 @@
     }
 
     void add(AdmissionRequest r, long nowMs) {
-        if (size == 0) {
+        if (queuedCount == 0) {
             headWait.startWait(nowMs);
         }
         queuesByTeam.computeIfAbsent(queueKey(r.team()), this::newTeam).add(r);
-        size++;
+        queuedCount++;
     }
 
     boolean remove(AdmissionRequest r) {
@@ -57,7 +57,7 @@
         if (team == null || !team.remove(r)) {
             return false;
         }
-        size--;
+        queuedCount--;
         if (team.isEmpty()) {
             queuesByTeam.remove(queueKey(r.team()));
             storeIdleTeam(queueKey(r.team()), team.servedPerWeight());
@@ -102,7 +102,7 @@
 
     /** Returns the expected time that the first request waits until it is admitted. */
     double headWaitMs(double estimateMs, long nowMs) {
-        return headWait.expectedMs(estimateMs, size > 0, nowMs);
+        return headWait.expectedMs(estimateMs, queuedCount > 0, nowMs);
     }
 
     /**
@@ -139,11 +139,11 @@
                 : Math.max(virtualTime, idleVirtualTimes.getOrDefault(team, virtualTime));
     }
 
-    int size() {
-        return size;
+    int queuedCount() {
+        return queuedCount;
     }
 
-    int size(TeamId team) {
+    int queuedCount(TeamId team) {
         TeamQueue q = queuesByTeam.get(queueKey(team));
         return q == null ? 0 : q.size();
     }
@@ -168,7 +168,7 @@
                 .build();
     }
 
-    TeamQueue team(TeamId team) {
+    TeamQueue queueOf(TeamId team) {
         return queuesByTeam.get(team);
     }
 
--- a/masticweir/src/main/java/org/masticweir/limits/LimitSettings.java
+++ b/masticweir/src/main/java/org/masticweir/limits/LimitSettings.java
@@ -56,7 +56,7 @@
     }
 
     /** Returns the maximum number of queued requests. */
-    int maxQueued() {
+    int maxQueuedRequests() {
         return settings.maxQueued();
     }
 
--- a/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
@@ -55,7 +55,7 @@
     void markFinished(AdmissionRequest r, boolean wasSent, long heldMs) {
         load.markFinished(wasSent, heldMs);
         if (wasSent) {
-            queue(r).holdTime().add(heldMs);
+            queueOf(r).holdTime().add(heldMs);
         }
     }
 
@@ -67,45 +67,45 @@
      * Records an arrival, so that other classes leave headroom if the class of {@code r} needs it.
      */
     void recordArrival(AdmissionRequest r, Capacity capacity, long nowMs) {
-        latencySensitive.recordArrival(r, queue(r), capacity, nowMs);
+        latencySensitive.recordArrival(r, queueOf(r), capacity, nowMs);
     }
 
     void add(AdmissionRequest r, long nowMs) {
-        ClassQueue q = queue(r);
-        if (q.size() == 0) {
+        ClassQueue q = queueOf(r);
+        if (q.queuedCount() == 0) {
             q.advanceTo(virtualTime);
         }
         q.add(r, nowMs);
     }
 
     boolean remove(AdmissionRequest r) {
-        return queue(r).remove(r);
+        return queueOf(r).remove(r);
     }
 
-    int size() {
-        return queuesByClass.values().stream().mapToInt(ClassQueue::size).sum();
+    int queuedCount() {
+        return queuesByClass.values().stream().mapToInt(ClassQueue::queuedCount).sum();
     }
 
-    int size(TeamId team) {
-        return queuesByClass.values().stream().mapToInt(q -> q.size(team)).sum();
+    int queuedCount(TeamId team) {
+        return queuesByClass.values().stream().mapToInt(q -> q.queuedCount(team)).sum();
     }
 
     /** Returns whether {@code r} may be admitted at once, before all queued requests. */
     boolean canAdmitNow(AdmissionRequest r, Capacity capacity, int reserved) {
-        ClassQueue own = queue(r);
+        ClassQueue own = queueOf(r);
         double startTime = Math.max(virtualTime, own.servedSlotMs());
         int ahead =
                 queuesByClass.values().stream()
                         .filter(q -> q == own || q.servedSlotMs() <= startTime)
                         .filter(q -> q.next(x -> hasSlot(x, capacity, reserved)).isPresent())
-                        .mapToInt(ClassQueue::size)
+                        .mapToInt(ClassQueue::queuedCount)
                         .sum();
-        return own.size(r.team()) == 0 && freeSlotsFor(r, capacity, reserved) - ahead >= 1;
+        return own.queuedCount(r.team()) == 0 && freeSlotsFor(r, capacity, reserved) - ahead >= 1;
     }
 
     /** Charges the class of {@code r}, which was admitted without queueing. */
     void chargeUnqueued(AdmissionRequest r, Capacity capacity) {
-        ClassQueue q = queue(r);
+        ClassQueue q = queueOf(r);
         q.advanceTo(virtualTime);
         charge(q, r, capacity);
     }
@@ -115,13 +115,13 @@
         return queuesByClass.values().stream()
                 .flatMap(q -> q.next(r -> hasSlot(r, capacity, reserved)).stream())
                 .min(
-                        comparingDouble((AdmissionRequest r) -> queue(r).servedSlotMs())
+                        comparingDouble((AdmissionRequest r) -> queueOf(r).servedSlotMs())
                                 .thenComparingLong(AdmissionRequest::firstTokenDueMs));
     }
 
     /** Removes {@code r}, which is admitted, and charges its class and team. */
     void serve(AdmissionRequest r, Capacity capacity, long nowMs) {
-        ClassQueue q = queue(r);
+        ClassQueue q = queueOf(r);
         q.serve(r, nowMs);
         charge(q, r, capacity);
     }
@@ -141,13 +141,13 @@
      * Predicts the times of {@code r}, which has just arrived, after all requests queued before it.
      */
     Prediction predict(AdmissionRequest r, Capacity capacity, long nowMs) {
-        double waits = queue(r).requestsAhead(r, queue(r).size(r.team())) + 1;
+        double waits = queueOf(r).requestsAhead(r, queueOf(r).queuedCount(r.team())) + 1;
         return predict(r, waits, capacity, nowMs);
     }
 
     private Prediction predict(AdmissionRequest r, double waits, Capacity capacity, long nowMs) {
         double slots = Math.max(capacity.fairShareSlots(), load.runningCount());
-        double headWaitMs = queue(r).headWaitMs(holdMs(capacity) / slots, nowMs);
+        double headWaitMs = queueOf(r).headWaitMs(holdMs(capacity) / slots, nowMs);
         return Prediction.of(r, waits * headWaitMs, capacity, holdMs(capacity));
     }
 
@@ -185,7 +185,7 @@
 
     private void removeTooLate(
             ClassQueue q, TeamId id, Capacity capacity, long nowMs, List<AdmissionRequest> late) {
-        for (TeamQueue team = q.team(id); team != null; team = q.team(id)) {
+        for (TeamQueue team = q.queueOf(id); team != null; team = q.queueOf(id)) {
             AdmissionRequest first = team.first();
             if (!isTooLate(first, capacity, nowMs)) {
                 return;
@@ -205,7 +205,7 @@
      */
     private void removeLate(
             ClassQueue q, TeamId id, Capacity capacity, long nowMs, List<AdmissionRequest> late) {
-        for (TeamQueue team = q.team(id); team != null; team = q.team(id)) {
+        for (TeamQueue team = q.queueOf(id); team != null; team = q.queueOf(id)) {
             AdmissionRequest first = team.first();
             AdmissionRequest last = team.last();
             int requestsBefore = team.size() - 1;
@@ -222,7 +222,7 @@
     }
 
     private boolean isLate(AdmissionRequest r, int requestsBefore, Capacity capacity, long nowMs) {
-        double waits = queue(r).requestsAhead(r, requestsBefore) + REMAINING_WAIT_SHARE;
+        double waits = queueOf(r).requestsAhead(r, requestsBefore) + REMAINING_WAIT_SHARE;
         return !predict(r, waits, capacity, nowMs).meetsTargets(r, nowMs);
     }
 
@@ -234,7 +234,7 @@
     private double freeSlotsFor(AdmissionRequest r, Capacity capacity, int reserved) {
         double extra =
                 latencySensitive.extraSlots(
-                        r, queue(r), capacity, teamWeights.isOverShare(r.team()));
+                        r, queueOf(r), capacity, teamWeights.isOverShare(r.team()));
         return capacity.freeSlots() + extra - load.unsentCount() - reserved;
     }
 
@@ -242,7 +242,7 @@
         return load.holdTime().meanMs(capacity.holdMs());
     }
 
-    private ClassQueue queue(AdmissionRequest r) {
+    private ClassQueue queueOf(AdmissionRequest r) {
         WorkClassId id = settings.hasClassShares() ? r.workClass().id() : ALL_CLASSES;
         return queuesByClass.computeIfAbsent(
                 id, k -> new ClassQueue(teamWeights::weight, settings));
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimDomain.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimDomain.java
@@ -39,7 +39,7 @@
     private final List<ClaimDecision> decisions = new ArrayList<>();
     private long transactions;
     private long tableOneWayMs = TABLE_ONE_WAY_MS;
-    private boolean isTableOut;
+    private boolean isTableUnavailable;
 
     /** The fault of a router as observed by the other routers. */
     enum Fault {
@@ -112,17 +112,17 @@
                         MasticweirException.notRun(ErrorCode.NOT_FOUND, "link in backoff"));
                 return response;
             }
-            scheduler.at(now() + HOP_MS, () -> writer.arrive(id, m, response));
+            scheduler.at(now() + HOP_MS, () -> writer.onWriteRequest(id, m, response));
             scheduler.at(now() + timeoutMs, () -> response.completeExceptionally(unknownOutcome()));
             return response;
         }
 
-        private void arrive(
+        private void onWriteRequest(
                 RouterId from,
                 ClaimWriteRequest m,
                 CompletableFuture<ClaimWriteResponse> response) {
             if (fault == Fault.PAUSED) {
-                held.add(() -> arrive(from, m, response));
+                held.add(() -> onWriteRequest(from, m, response));
             } else if (fault == Fault.KILLED) {
                 response.completeExceptionally(unknownOutcome());
             } else {
@@ -140,12 +140,12 @@
         public CompletableFuture<TransactionOutcome> transact(Transaction t, long timeoutMs) {
             CompletableFuture<TransactionOutcome> response = new CompletableFuture<>();
             transactions++;
-            if (isTableOut || fault == Fault.TABLE_REFUSED) {
+            if (isTableUnavailable || fault == Fault.TABLE_REFUSED) {
                 response.complete(TransactionOutcome.NotDone.because("refused"));
                 return response;
             }
             if (fault != Fault.TABLE_SILENT) {
-                scheduler.at(now() + tableOneWayMs, () -> arriveAtTable(t, response));
+                scheduler.at(now() + tableOneWayMs, () -> applyAtTable(t, response));
             }
             scheduler.at(
                     now() + timeoutMs,
@@ -153,7 +153,7 @@
             return response;
         }
 
-        private void arriveAtTable(Transaction t, CompletableFuture<TransactionOutcome> response) {
+        private void applyAtTable(Transaction t, CompletableFuture<TransactionOutcome> response) {
             TransactionOutcome outcome = table.apply(t);
             scheduler.at(now() + tableOneWayMs, () -> deliverOutcome(response, outcome));
         }
@@ -213,7 +213,7 @@
     }
 
     void setTableOut(boolean out) {
-        isTableOut = out;
+        isTableUnavailable = out;
     }
 
     void setTableDelay(long oneWayMs) {
@@ -224,7 +224,7 @@
         return routers.get(RouterId.of("r" + i));
     }
 
-    List<Router> all() {
+    List<Router> allRouters() {
         return List.copyOf(routers.values());
     }
 
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
@@ -38,7 +38,7 @@
      */
     @Property(seed = "11", tries = 4_000, shrinking = ShrinkingMode.OFF)
     void runsAtMostOnceWithDelegatedWrites(@ForAll long seed) {
-        ClaimWorld world = ClaimWorld.sharing(seed).run(3 * STEPS);
+        ClaimWorld world = ClaimWorld.withSharedWrites(seed).run(3 * STEPS);
         assertTrue(world.mostRunsOfOneRequest() <= 1, "a request ran twice");
         assertTrue(world.notRunNeverRan(), "reported as not run, but ran");
     }
@@ -48,15 +48,15 @@
      * policy fails.
      */
     @Example
-    void trustingWritersRunsTwice() {
+    void trustedAcceptanceRunsTwice() {
         int failures = 0;
         long responses = 0;
         long runs = 0;
         long refused = 0;
         for (int seed = 0; seed < 200; seed++) {
-            ClaimWorld plain = ClaimWorld.trustingWriters(seed).run(3 * STEPS);
+            ClaimWorld plain = ClaimWorld.withTrustedAcceptance(seed).run(3 * STEPS);
             failures += plain.mostRunsOfOneRequest() > 1 ? 1 : 0;
-            ClaimWorld world = ClaimWorld.sharing(seed).run(3 * STEPS);
+            ClaimWorld world = ClaimWorld.withSharedWrites(seed).run(3 * STEPS);
             responses += world.writerResponses();
             runs += world.runs();
             refused += world.countVerdicts(Verdict.NOT_RUN);
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimServiceTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimServiceTest.java
@@ -30,8 +30,8 @@
     private final Clock clock = Clock.system();
     private final MemoryTable table = new MemoryTable();
     private final ScheduledExecutorService control = Executors.newScheduledThreadPool(1);
-    private final ClaimService first = service("a");
-    private final ClaimService second = service("b");
+    private final ClaimService firstService = service("a");
+    private final ClaimService secondService = service("b");
 
     private ClaimService service(String id) {
         return ClaimService.create(
@@ -47,27 +47,27 @@
         return service.claim(TEAM, request, clock.nowMs() + CALLER_TIMEOUT_MS);
     }
 
-    private ClaimPermit permitted(ClaimDecision decision) {
+    private ClaimPermit permitOf(ClaimDecision decision) {
         return assertInstanceOf(ClaimDecision.Granted.class, decision).permit();
     }
 
     /** The table responds. */
     @Nested
-    class Reachable {
+    class TableReachable {
         @Test
         void manyClaimsShareFewTransactions() {
             List<CompletableFuture<ClaimDecision>> claims = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
-                claims.add(claim(first, RequestId.of("r" + i)));
+                claims.add(claim(firstService, RequestId.of("r" + i)));
             }
-            claims.forEach(c -> permitted(c.join()));
+            claims.forEach(c -> permitOf(c.join()));
             assertTrue(table.transactions() <= 20, "transactions " + table.transactions());
         }
 
         @Test
         void secondSubmissionReceivesTheOwner() {
-            permitted(claim(first, LETTER).join());
-            ClaimDecision other = claim(second, LETTER).join();
+            permitOf(claim(firstService, LETTER).join());
+            ClaimDecision other = claim(secondService, LETTER).join();
             ClaimRow row = assertInstanceOf(ClaimDecision.AlreadyClaimed.class, other).row();
             assertEquals(RouterId.of("a"), row.owner());
             assertEquals(Verdict.MAY_HAVE_RUN, row.verdict());
@@ -78,13 +78,13 @@
          */
         @Test
         void conflictOfOneDoesNotFailTheOthers() {
-            permitted(claim(second, LETTER).join());
+            permitOf(claim(secondService, LETTER).join());
             List<CompletableFuture<ClaimDecision>> claims = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                claims.add(claim(first, RequestId.of("r" + i)));
+                claims.add(claim(firstService, RequestId.of("r" + i)));
             }
-            CompletableFuture<ClaimDecision> hit = claim(first, LETTER);
-            claims.forEach(c -> permitted(c.join()));
+            CompletableFuture<ClaimDecision> hit = claim(firstService, LETTER);
+            claims.forEach(c -> permitOf(c.join()));
             assertInstanceOf(ClaimDecision.AlreadyClaimed.class, hit.join());
         }
 
@@ -92,7 +92,7 @@
         void sweepDeletesOldClaimsOnly() {
             ClaimPolicy policy = ClaimPolicy.defaults();
             long retentionMs = ClaimSweep.RETENTION_FACTOR * policy.sendWithinMs();
-            permitted(claim(first, LETTER).join());
+            permitOf(claim(firstService, LETTER).join());
             Row row = table.row(ClaimRow.keyOf(TEAM, LETTER));
             long madeMs = ClaimRow.decode(row.value()).wallMs();
             ClaimSweep sweep = ClaimSweep.withRetention(retentionMs, 10, policy);
@@ -105,7 +105,7 @@
 
     /** The table loses responses or has an outage. */
     @Nested
-    class Unreachable {
+    class TableUnreachable {
         /**
          * The claim is written and the response is lost; the caller must still receive the letter,
          * exactly once.
@@ -113,8 +113,8 @@
         @Test
         void lostAnswerIsSettledByTheNonce() {
             table.loseAnswers(1);
-            permitted(claim(first, LETTER).join());
-            assertInstanceOf(ClaimDecision.AlreadyClaimed.class, claim(second, LETTER).join());
+            permitOf(claim(firstService, LETTER).join());
+            assertInstanceOf(ClaimDecision.AlreadyClaimed.class, claim(secondService, LETTER).join());
         }
 
         /** While the table is unavailable the caller is refused at once with a retry delay. */
@@ -122,7 +122,7 @@
         void outageRefusesAtOnceWithRetryAfter() {
             table.setOut(true);
             long startMs = clock.nowMs();
-            ClaimDecision decision = claim(first, LETTER).join();
+            ClaimDecision decision = claim(firstService, LETTER).join();
             var error = assertInstanceOf(ClaimDecision.Refused.class, decision).error();
             assertEquals(Verdict.NOT_RUN, error.verdict());
             assertTrue(error.retryAfterMs().isPresent());
@@ -136,14 +136,14 @@
         @Test
         void claimGivenUpIsReleasedForTheNextSubmission() {
             table.loseAnswers(ClaimPolicy.defaults().maxTries());
-            ClaimDecision refused = claim(first, LETTER).join();
+            ClaimDecision refused = claim(firstService, LETTER).join();
             var error = assertInstanceOf(ClaimDecision.Refused.class, refused).error();
             assertTrue(error.retryAfterMs().isPresent(), "has a retry delay");
-            ClaimDecision next = claim(second, LETTER).join();
+            ClaimDecision next = claim(secondService, LETTER).join();
             while (next instanceof ClaimDecision.AlreadyClaimed) {
-                next = claim(second, LETTER).join();
+                next = claim(secondService, LETTER).join();
             }
-            permitted(next);
+            permitOf(next);
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimSharingTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimSharingTest.java
@@ -8,20 +8,20 @@
 
 /** Tests claims of a domain's routers that one writer writes, in virtual time. */
 class ClaimSharingTest {
-    private static final int UNSHARED = 1_000;
+    private static final int NO_SHARING_THRESHOLD = 1_000;
     private static final long LOAD_MS = 20_000;
     private static final long SETTLED_MS = 10_000;
-    private static final int RATE = 200;
+    private static final int CLAIMS_PER_S = 200;
 
     /**
      * Starts {@code rate} claims per second in total for {@code forMs}, at the routers in rotation.
      */
-    private static void load(ClaimDomain domain, double rate, long forMs) {
+    private static void scheduleClaims(ClaimDomain domain, double rate, long forMs) {
         long startMs = domain.now();
         int n = (int) (forMs * rate / 1_000);
         for (int i = 0; i < n; i++) {
             domain.runTo(startMs + (long) (i * 1_000 / rate));
-            ClaimDomain.Router router = domain.all().get(i % domain.all().size());
+            ClaimDomain.Router router = domain.allRouters().get(i % domain.allRouters().size());
             if (router.isHealthy()) {
                 domain.claim(router, "k" + startMs + "-" + i, 1_000);
             }
@@ -36,7 +36,7 @@
         @Test
         void transactionsOfADomainStayUnderOneRoutersBudget() {
             for (int routers : new int[] {1, 2, 4, 8, 16, 43}) {
-                double alone = measure(routers, UNSHARED);
+                double alone = measure(routers, NO_SHARING_THRESHOLD);
                 double shared = measure(routers, 1);
                 assertTrue(shared <= 21, shared + " transactions/s of " + routers + " routers");
                 assertTrue(shared <= alone + 1, shared + " after " + alone);
@@ -45,16 +45,16 @@
 
         private double measure(int routers, int shareAbove) {
             ClaimDomain domain = new ClaimDomain(routers, shareAbove);
-            load(domain, RATE, LOAD_MS);
+            scheduleClaims(domain, CLAIMS_PER_S, LOAD_MS);
             domain.resetCounts();
-            load(domain, RATE, LOAD_MS);
+            scheduleClaims(domain, CLAIMS_PER_S, LOAD_MS);
             double perSecond = domain.transactions() * 1_000.0 / LOAD_MS;
             System.out.printf(
                     "claims: %d routers, %s, %d claims/s: %.1f transactions/s, wait p50 %d p99 %d"
                             + " ms%n",
                     routers,
                     shareAbove < routers ? "shared" : "each for itself",
-                    RATE,
+                    CLAIMS_PER_S,
                     perSecond,
                     domain.waitMs(0.5),
                     domain.waitMs(0.99));
@@ -83,7 +83,7 @@
         private final ClaimDomain domain = new ClaimDomain(ROUTERS, 1);
 
         Faults() {
-            load(domain, RATE, 5_000);
+            scheduleClaims(domain, CLAIMS_PER_S, 5_000);
             domain.resetCounts();
         }
 
@@ -134,7 +134,7 @@
             long startMs = domain.now();
             domain.runTo(startMs + 20);
             writer.setFault(fault);
-            load(domain, RATE, FAULT_MS);
+            scheduleClaims(domain, CLAIMS_PER_S, FAULT_MS);
             double perSecond = domain.transactions() * 1_000.0 / FAULT_MS;
             System.out.printf(
                     "claims: writer %s: %d of %d served, longest wait %d p99 %d ms, %.1f"
@@ -149,7 +149,7 @@
             assertTrue(domain.waitMs(1) <= boundMs, "waited " + domain.waitMs(1) + " ms");
             assertTrue(perSecond <= 2 * 21, perSecond + " transactions/s");
             writer.setFault(ClaimDomain.Fault.NONE);
-            load(domain, RATE, FAULT_MS);
+            scheduleClaims(domain, CLAIMS_PER_S, FAULT_MS);
             domain.runTo(domain.now() + 2 * SETTLED_MS);
             long owned = domain.rows(ClaimStatus.CLAIMED);
             assertEquals(0, owned, "rows left claimed");
@@ -165,7 +165,7 @@
         @Test
         void tableOut() {
             domain.setTableOut(true);
-            load(domain, RATE, FAULT_MS);
+            scheduleClaims(domain, CLAIMS_PER_S, FAULT_MS);
             System.out.printf(
                     "claims: table out: %d refused, longest wait %d p99 %d ms, %d transactions%n",
                     domain.refusals().size(),
@@ -176,9 +176,9 @@
             assertTrue(domain.refusals().stream().allMatch(e -> e.retryAfterMs().isPresent()));
             assertTrue(domain.waitMs(1) <= 150, "waited " + domain.waitMs(1) + " ms");
             domain.setTableOut(false);
-            load(domain, RATE, FAULT_MS);
+            scheduleClaims(domain, CLAIMS_PER_S, FAULT_MS);
             domain.resetCounts();
-            load(domain, RATE, FAULT_MS);
+            scheduleClaims(domain, CLAIMS_PER_S, FAULT_MS);
             double perSecond = domain.transactions() * 1_000.0 / FAULT_MS;
             assertTrue(perSecond <= 21, perSecond + " transactions/s after the outage");
             assertEquals(0, domain.refusals().size(), "refused");
@@ -191,7 +191,7 @@
         @Test
         void tableSlow() {
             domain.setTableDelay(150);
-            load(domain, RATE, FAULT_MS);
+            scheduleClaims(domain, CLAIMS_PER_S, FAULT_MS);
             double perSecond = domain.transactions() * 1_000.0 / FAULT_MS;
             System.out.printf(
                     "claims: table slow: %d of %d served, p50 %d p99 %d ms, %.1f transactions/s%n",
@@ -209,7 +209,7 @@
          */
         @Test
         void tooManyClaims() {
-            load(domain, 4_000, FAULT_MS);
+            scheduleClaims(domain, 4_000, FAULT_MS);
             double perSecond = domain.transactions() * 1_000.0 / FAULT_MS;
             System.out.printf(
                     "claims: 4000 claims/s: %d served, %d refused, longest wait %d p99 %d ms, %.1f"
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
@@ -48,14 +48,14 @@
     private static final class Submission {
         private final RowKey key;
         private final String nonce;
-        private final ClaimStateMachine state;
+        private final ClaimStateMachine stateMachine;
         private long sendBeforeMs = Long.MIN_VALUE;
         private Verdict reportedVerdict;
 
         private Submission(RowKey key, String nonce, ClaimStateMachine state) {
             this.key = key;
             this.nonce = nonce;
-            this.state = state;
+            this.stateMachine = state;
         }
     }
 
@@ -63,7 +63,7 @@
     private static final class Router {
         private final Map<Long, Submission> live = new HashMap<>();
         private final Set<ClaimWriteId> pendingWrites = new HashSet<>();
-        private ClaimBatcher batch;
+        private ClaimBatcher batcher;
         private WriteDelegation delegation;
         private PeerWrites peerWrites;
     }
@@ -85,33 +85,33 @@
     }
 
     /** A group in transit; a null router has crashed. */
-    private record Sent(Router router, ClaimGroup group) {}
+    private record SentGroup(Router router, ClaimGroup group) {}
 
     private final Random random;
-    private final boolean sendFirst;
+    private final boolean sendsBeforeClaim;
     private final boolean sharesWrites;
     private final boolean trustsAcceptance;
     private final List<LinkMessage> messages = new ArrayList<>();
     private final MemoryTable table = new MemoryTable();
     private final List<Router> routers = new ArrayList<>();
-    private final List<Sent> network = new ArrayList<>();
+    private final List<SentGroup> network = new ArrayList<>();
     private final List<ClaimGroup> delayed = new ArrayList<>();
     private final List<Submission> all = new ArrayList<>();
     private final Map<RowKey, List<String>> runs = new HashMap<>();
     private long nowMs = 1_000;
-    private long ids;
-    private long responses;
-    private boolean isTableOut;
+    private long lastId;
+    private long responseCount;
+    private boolean isTableUnavailable;
 
-    /** With {@code sendFirst} routers use the plain policy: send, then claim. */
-    ClaimWorld(long seed, boolean sendFirst) {
-        this(seed, sendFirst, false, false);
+    /** With {@code sendsBeforeClaim} routers use the plain policy: send, then claim. */
+    ClaimWorld(long seed, boolean sendsBeforeClaim) {
+        this(seed, sendsBeforeClaim, false, false);
     }
 
     private ClaimWorld(
-            long seed, boolean sendFirst, boolean sharesWrites, boolean trustsAcceptance) {
+            long seed, boolean sendsBeforeClaim, boolean sharesWrites, boolean trustsAcceptance) {
         random = new Random(seed);
-        this.sendFirst = sendFirst;
+        this.sendsBeforeClaim = sendsBeforeClaim;
         this.sharesWrites = sharesWrites;
         this.trustsAcceptance = trustsAcceptance;
         routers.add(newRouter());
@@ -122,7 +122,7 @@
     }
 
     /** Returns a world in which routers write each other's claims. */
-    static ClaimWorld sharing(long seed) {
+    static ClaimWorld withSharedWrites(long seed) {
         return new ClaimWorld(seed, false, true, false);
     }
 
@@ -130,7 +130,7 @@
      * The same with the plain policy that the writer's acceptance of a write already permits the
      * send.
      */
-    static ClaimWorld trustingWriters(long seed) {
+    static ClaimWorld withTrustedAcceptance(long seed) {
         return new ClaimWorld(seed, false, true, true);
     }
 
@@ -152,7 +152,7 @@
 
     /** Returns the number of writer responses that reached a claimant. */
     long writerResponses() {
-        return responses;
+        return responseCount;
     }
 
     long countVerdicts(Verdict verdict) {
@@ -167,9 +167,9 @@
 
     private Router newRouter() {
         Router r = new Router();
-        r.batch = new ClaimBatcher(LIMITS, nowMs);
+        r.batcher = new ClaimBatcher(LIMITS, nowMs);
         r.delegation = new WriteDelegation(RouterId.of("self"), SHARING);
-        r.peerWrites = new PeerWrites(r.batch, new WorldClock());
+        r.peerWrites = new PeerWrites(r.batcher, new WorldClock());
         return r;
     }
 
@@ -184,7 +184,7 @@
             submit(router);
         } else if (choice < 45) {
             nowMs += random.nextInt(12);
-            router.batch.nextGroup(nowMs).ifPresent(g -> network.add(new Sent(router, g)));
+            router.batcher.nextGroup(nowMs).ifPresent(g -> network.add(new SentGroup(router, g)));
         } else if (choice < 75 && !network.isEmpty()) {
             deliver(network.remove(random.nextInt(network.size())));
         } else if (choice < 88) {
@@ -194,7 +194,7 @@
         } else if (choice < 94) {
             routers.set(routers.indexOf(router), newRouter());
         } else if (choice < 96) {
-            isTableOut = !isTableOut && (!sharesWrites || random.nextInt(3) == 0);
+            isTableUnavailable = !isTableUnavailable && (!sharesWrites || random.nextInt(3) == 0);
         } else if (choice < 97) {
             nowMs += random.nextInt(500);
         }
@@ -205,7 +205,7 @@
         if (random.nextInt(8) == 0 || messages.isEmpty()) {
             nowMs += random.nextInt(4);
             for (ClaimWriteId key : List.copyOf(router.pendingWrites)) {
-                act(router, key, router.delegation.expire(key, nowMs));
+                applyDelegationActions(router, key, router.delegation.expire(key, nowMs));
             }
             return;
         }
@@ -220,24 +220,24 @@
     private void offer(Router router, BatchItem item) {
         Router writer = routers.get(random.nextInt(routers.size()));
         if (!sharesWrites || writer == router) {
-            writeHere(router, item);
+            writeLocally(router, item);
             return;
         }
         ClaimWriteId key = router.delegation.addPending(item, RouterId.of("writer"), nowMs);
         router.pendingWrites.add(key);
         int fate = random.nextInt(20);
         if (fate == 0) {
-            act(router, key, router.delegation.onNotSent(key, nowMs));
+            applyDelegationActions(router, key, router.delegation.onNotSent(key, nowMs));
             return;
         }
         ClaimWriteRequest message = ClaimWriteRequest.of(item).orElseThrow();
-        messages.add(new LinkMessage(writer, () -> arrive(writer, message, router)));
+        messages.add(new LinkMessage(writer, () -> onWriteRequest(writer, message, router)));
         if (fate == 1) {
-            act(router, key, router.delegation.onLinkLost(key, nowMs));
+            applyDelegationActions(router, key, router.delegation.onLinkLost(key, nowMs));
         }
     }
 
-    private void arrive(Router writer, ClaimWriteRequest message, Router claimant) {
+    private void onWriteRequest(Router writer, ClaimWriteRequest message, Router claimant) {
         ClaimWriteId key = message.id();
         if (trustsAcceptance) {
             new LinkReply(claimant, key)
@@ -267,8 +267,8 @@
         }
 
         private void deliverResponse(ClaimWriteResponse response) {
-            responses++;
-            act(claimant, key, claimant.delegation.onResponse(key, response, false, nowMs));
+            responseCount++;
+            applyDelegationActions(claimant, key, claimant.delegation.onResponse(key, response, false, nowMs));
         }
 
         @Override
@@ -277,19 +277,19 @@
         }
     }
 
-    private void act(Router router, ClaimWriteId key, List<DelegationAction> actions) {
+    private void applyDelegationActions(Router router, ClaimWriteId key, List<DelegationAction> actions) {
         for (DelegationAction action : actions) {
             router.pendingWrites.remove(key);
             if (action instanceof DelegationAction.Report t) {
                 deliver(router, t.event().claim(), t.event().event());
             } else {
-                writeHere(router, ((DelegationAction.WriteLocally) action).item());
+                writeLocally(router, ((DelegationAction.WriteLocally) action).item());
             }
         }
     }
 
-    private void writeHere(Router router, BatchItem item) {
-        OptionalLong refused = router.batch.offer(item, nowMs);
+    private void writeLocally(Router router, BatchItem item) {
+        OptionalLong refused = router.batcher.offer(item, nowMs);
         if (refused.isPresent()) {
             int ticket = item.write().ticket();
             deliver(router, item.claim(), new ClaimEvent.NotDone(ticket, refused));
@@ -300,24 +300,24 @@
         RequestId request =
                 RequestId.of("r" + random.nextInt(sharesWrites ? SHARED_REQUESTS : REQUESTS));
         RowKey key = ClaimRow.keyOf(TeamId.of("t"), request);
-        long id = ++ids;
+        long id = ++lastId;
         ClaimRow row = ClaimRow.claimed("n" + id, RouterId.of("router"), nowMs);
         ClaimStateMachine state =
                 ClaimStateMachine.of(key, row, POLICY, nowMs, nowMs + DEADLINE_MS);
         Submission s = new Submission(key, row.nonce(), state);
         all.add(s);
         router.live.put(id, s);
-        if (sendFirst && !table.row(key).isPresent()) {
+        if (sendsBeforeClaim && !table.row(key).isPresent()) {
             execute(s);
         }
         apply(router, id, state.start(nowMs));
     }
 
-    private void deliver(Sent sent) {
+    private void deliver(SentGroup sent) {
         boolean known = routers.contains(sent.router());
         int fate = random.nextInt(10);
         TransactionOutcome outcome = new TransactionOutcome.Unknown("lost");
-        if (isTableOut || fate == 0) {
+        if (isTableUnavailable || fate == 0) {
             outcome = TransactionOutcome.NotDone.because("out");
         } else if (fate == 1) {
             delayed.add(sent.group());
@@ -327,7 +327,7 @@
             outcome = table.apply(sent.group().transaction());
         }
         if (known) {
-            for (BatchEvent e : sent.router().batch.onOutcome(sent.group().id(), outcome, nowMs)) {
+            for (BatchEvent e : sent.router().batcher.onOutcome(sent.group().id(), outcome, nowMs)) {
                 if (!sent.router().peerWrites.respond(e)) {
                     deliver(sent.router(), e.claim(), e.event());
                 }
@@ -369,7 +369,7 @@
     private void deliver(Router router, long id, ClaimEvent event) {
         Submission s = router.live.get(id);
         if (s != null) {
-            apply(router, id, s.state.onEvent(event, nowMs));
+            apply(router, id, s.stateMachine.onEvent(event, nowMs));
         }
     }
 
--- a/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
@@ -32,12 +32,12 @@
     private static final int SLOTS = 20;
     private static final int HOLD_MS = 1_000;
 
-    private int engines = 1;
-    private int busy;
-    private int recoveries;
+    private int engineCount = 1;
+    private int busySlots;
+    private int recoveryCount;
     private final AdmissionController admission =
             AdmissionController.create(
-                    (m, v, now) -> capacity(), t -> 1, m -> recoveries, new Random(3));
+                    (m, v, now) -> capacity(), t -> 1, m -> recoveryCount, new Random(3));
 
     private static WorkClass workClass(String id, int firstMs, int totalMs) {
         return new WorkClass(
@@ -49,7 +49,7 @@
     }
 
     private Capacity capacity() {
-        return new Capacity(engines, SLOTS - busy, SLOTS, SLOTS, HOLD_MS, 10, 5);
+        return new Capacity(engineCount, SLOTS - busySlots, SLOTS, SLOTS, HOLD_MS, 10, 5);
     }
 
     private AdmissionDecision offer(String id, String team, WorkClass c, long now) {
@@ -66,7 +66,7 @@
 
     private void markSentIfAdmitted(AdmissionDecision d) {
         if (d instanceof Admitted) {
-            busy++;
+            busySlots++;
             admission.recordSend(d.request());
         }
     }
@@ -76,7 +76,7 @@
     class PredictedLate {
         @Test
         void isRefusedOnArrivalWithRetryAfter() {
-            busy = SLOTS;
+            busySlots = SLOTS;
             for (int n = 0; n < 6; n++) {
                 assertInstanceOf(Queued.class, offer("q" + n, "a", LOOKUPS, 0));
             }
@@ -87,7 +87,7 @@
 
         @Test
         void isRefusedFromTheQueueBeforeItsTargetHasPassed() {
-            busy = SLOTS;
+            busySlots = SLOTS;
             offer("q", "a", LOOKUPS, 0);
             assertEquals(List.of(), tick(100));
             Refused r = assertInstanceOf(Refused.class, tick(300).get(0));
@@ -97,9 +97,9 @@
 
         @Test
         void withoutAnEngineIsRefusedAtOnce() {
-            busy = SLOTS;
+            busySlots = SLOTS;
             offer("q", "a", REPORTS, 0);
-            engines = 0;
+            engineCount = 0;
             assertEquals(ErrorCode.NO_ENGINE, ((Refused) tick(1).get(0)).code());
             Refused r = assertInstanceOf(Refused.class, offer("n", "a", REPORTS, 1));
             assertEquals(ErrorCode.NO_ENGINE, r.code());
@@ -111,7 +111,7 @@
          */
         @Test
         void retriesAreSpreadByTheBacklog() {
-            busy = SLOTS;
+            busySlots = SLOTS;
             long max = 0;
             int[] perSecond = new int[60];
             for (int n = 0; n < 200; n++) {
@@ -138,7 +138,7 @@
         @Test
         void twiceTheLoadKeepsLookupsWithinTarget(TestReporter reporter) {
             Outcome fifo = new Simulation(true).run(20, 40);
-            busy = 0;
+            busySlots = 0;
             Outcome o = new Simulation(false).run(20, 40);
             reporter.publishEntry("overload", "in order of arrival " + fifo + ", admission " + o);
             assertTrue(fifo.lookupsInTime < 0.2 * fifo.lookups, fifo.toString());
@@ -150,10 +150,10 @@
 
         @Test
         void waitingRecoveriesGoFirst() {
-            busy = SLOTS - 2;
-            recoveries = 2;
+            busySlots = SLOTS - 2;
+            recoveryCount = 2;
             assertInstanceOf(Queued.class, offer("q", "a", REPORTS, 0));
-            recoveries = 0;
+            recoveryCount = 0;
             assertInstanceOf(Admitted.class, tick(1).get(0));
         }
     }
@@ -168,26 +168,26 @@
          */
         @Test
         void aBurstOfOneTeamDoesNotDelayOthers() {
-            busy = SLOTS;
+            busySlots = SLOTS;
             for (int n = 0; n < 300; n++) {
                 offer("big" + n, "big", REPORTS, 0);
             }
             assertTrue(admission.status().queued() >= 50, "the burst is queued");
             Queued small = assertInstanceOf(Queued.class, offer("s", "small", REPORTS, 1));
             assertTrue(small.expectedWaitMs() <= 200, small.toString());
-            busy -= 2;
+            busySlots -= 2;
             List<AdmissionDecision> next = tick(2);
             assertTrue(next.contains(new Admitted(RequestId.of("s"))), next.toString());
         }
 
         @Test
         void teamsShareByTokens() {
-            busy = SLOTS;
+            busySlots = SLOTS;
             for (int n = 0; n < 30; n++) {
                 offer("a" + n, "a", REPORTS, 0);
                 offer("b" + n, "b", REPORTS, 0);
             }
-            busy -= 10;
+            busySlots -= 10;
             long ofA = tick(1).stream().filter(d -> d.request().value().startsWith("a")).count();
             assertEquals(5, ofA);
         }
@@ -231,8 +231,8 @@
                 end(now);
                 long at = now;
                 tick(now).forEach(d -> addDecision(d, at));
-                while (busy < SLOTS && !fifo.isEmpty()) {
-                    busy++;
+                while (busySlots < SLOTS && !fifo.isEmpty()) {
+                    busySlots++;
                     addDecision(new Admitted(RequestId.of(fifo.poll())), now);
                 }
                 arrive(0, lookupsPerS, now);
@@ -269,7 +269,7 @@
         private void end(long now) {
             for (long[] r : running) {
                 if (r[1] <= now) {
-                    busy--;
+                    busySlots--;
                     admission.recordEnd(RequestId.of("n" + r[0]), now);
                 }
             }
--- a/masticweir/src/test/java/org/masticweir/limits/BatchEngine.java
+++ b/masticweir/src/test/java/org/masticweir/limits/BatchEngine.java
@@ -24,20 +24,20 @@
     static final class Sequence {
         final int call;
         private final int priority;
-        private int promptLeft;
-        private int tokensLeft;
+        private int remainingPromptTokens;
+        private int remainingTokens;
 
         Sequence(int call, int priority, int prompt, int tokens) {
             this.call = call;
             this.priority = priority;
-            this.promptLeft = prompt;
-            this.tokensLeft = tokens;
+            this.remainingPromptTokens = prompt;
+            this.remainingTokens = tokens;
         }
     }
 
     private record Sample(long atMs, int load) {}
 
-    private final PriorityQueue<Sequence> waiting =
+    private final PriorityQueue<Sequence> waitingSequences =
             new PriorityQueue<>(
                     Comparator.<Sequence>comparingInt(s -> s.priority)
                             .thenComparingInt(s -> s.call));
@@ -47,7 +47,7 @@
     private long stepEndsMs = -1;
 
     void submit(Sequence s) {
-        waiting.add(s);
+        waitingSequences.add(s);
     }
 
     /**
@@ -58,18 +58,18 @@
         if (stepEndsMs >= 0 && now >= stepEndsMs) {
             stepEndsMs = -1;
             for (Sequence s : decoding) {
-                s.tokensLeft--;
-                token.accept(s, s.tokensLeft == 0);
+                s.remainingTokens--;
+                token.accept(s, s.remainingTokens == 0);
             }
-            running.removeIf(s -> s.tokensLeft == 0);
+            running.removeIf(s -> s.remainingTokens == 0);
         }
-        while (running.size() < SLOTS && !waiting.isEmpty()) {
-            running.add(waiting.remove());
+        while (running.size() < SLOTS && !waitingSequences.isEmpty()) {
+            running.add(waitingSequences.remove());
         }
         if (stepEndsMs < 0 && !running.isEmpty()) {
             stepEndsMs = now + beginStep();
         }
-        int load = running.size() + waiting.size();
+        int load = running.size() + waitingSequences.size();
         if (samples.getLast().load != load) {
             samples.add(new Sample(now, load));
         }
@@ -79,11 +79,11 @@
         decoding.clear();
         int budget = CHUNK_TOKENS;
         for (Sequence s : running) {
-            if (s.promptLeft == 0) {
+            if (s.remainingPromptTokens == 0) {
                 decoding.add(s);
             }
-            int tokens = Math.min(budget, s.promptLeft);
-            s.promptLeft -= tokens;
+            int tokens = Math.min(budget, s.remainingPromptTokens);
+            s.remainingPromptTokens -= tokens;
             budget -= tokens;
         }
         int prefillMs = (CHUNK_TOKENS - budget) / PREFILL_TOKENS_PER_MS;
--- a/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
@@ -42,8 +42,8 @@
     private static final WorkClass LOOKUPS = workClass("lookups", 340);
     private static final WorkClass REPORTS = workClass("reports", 4_000);
 
-    private int busy = SLOTS;
-    private int arrivals;
+    private int busySlots = SLOTS;
+    private int arrivalCount;
 
     private static WorkClass workClass(String id, int firstMs) {
         return new WorkClass(
@@ -54,7 +54,7 @@
         DaemonSettings settings =
                 DaemonSettings.parse("r.ini", MINIMAL_SETTINGS + String.join("\n", lines));
         return AdmissionController.create(
-                (m, v, now) -> new Capacity(1, SLOTS - busy, SLOTS, SLOTS, 1_000, 10, 5),
+                (m, v, now) -> new Capacity(1, SLOTS - busySlots, SLOTS, SLOTS, 1_000, 10, 5),
                 t -> 1,
                 m -> 0,
                 new Random(3),
@@ -71,7 +71,7 @@
                         "3",
                         10,
                         100,
-                        arrivals++);
+                        arrivalCount++);
         return a.offer(work, 0);
     }
 
@@ -93,14 +93,14 @@
         private String firstOf(AdmissionController a) {
             offer(a, "report", "a", REPORTS);
             offer(a, "lookup", "a", LOOKUPS);
-            busy = SLOTS - 1;
+            busySlots = SLOTS - 1;
             return ids(a.tick(1)).get(0);
         }
 
         @Test
         void isByClassUnlessTurnedOff() {
             assertEquals("lookup", firstOf(admission("headroom_percent = 0")));
-            busy = SLOTS;
+            busySlots = SLOTS;
             assertEquals("report", firstOf(admission("class_shares = false")));
         }
 
@@ -109,12 +109,12 @@
             AdmissionController fair = admission("headroom_percent = 0");
             AdmissionController off = admission("headroom_percent = 0", "fair_shares = false");
             for (AdmissionController a : List.of(fair, off)) {
-                busy = SLOTS;
+                busySlots = SLOTS;
                 for (int i = 1; i <= 4; i++) {
                     offer(a, "large-" + i, "large", REPORTS);
                 }
                 offer(a, "small", "small", REPORTS);
-                busy = SLOTS - 2;
+                busySlots = SLOTS - 2;
                 List<String> served = ids(a.tick(1));
                 assertEquals(a == fair, served.contains("small"), served.toString());
             }
@@ -123,7 +123,7 @@
 
     /** Requests that will be late. */
     @Nested
-    class Late {
+    class LateRequests {
         private AdmissionDecision seventh(AdmissionController a) {
             for (int i = 1; i <= 6; i++) {
                 offer(a, "q" + i, "a", LOOKUPS);
@@ -146,7 +146,7 @@
                     admission("predicted_refusal = false", "queue_deadlines = false");
             seventh(off);
             assertEquals(List.of(), off.tick(10_000));
-            busy = SLOTS - 1;
+            busySlots = SLOTS - 1;
             assertInstanceOf(Admitted.class, off.tick(10_000).get(0));
         }
     }
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
@@ -179,11 +179,11 @@
         return tally(c -> c.profile == profile && !c.team.equals(TEAMS[0]));
     }
 
-    private Tally tally(Predicate<Call> wanted) {
+    private Tally tally(Predicate<Call> isIncluded) {
         Tally tally = new Tally();
         calls.stream()
-                .filter(wanted)
-                .filter(c -> c.atMs >= WARM_UP_MS && c.atMs < END_MS - WARM_UP_MS)
+                .filter(isIncluded)
+                .filter(c -> c.startedAtMs >= WARM_UP_MS && c.startedAtMs < END_MS - WARM_UP_MS)
                 .forEach(c -> c.addTo(tally));
         return tally;
     }
@@ -192,35 +192,35 @@
         long now = clock.nowMs();
         for (int i = 0; i < engines.size(); i++) {
             int engine = i;
-            engines.get(i).runTo(now, (s, last) -> token(engine, s, last));
+            engines.get(i).runTo(now, (s, last) -> onToken(engine, s, last));
         }
         routers.forEach(r -> r.step(now));
         if (random.nextDouble() < ratePerS / 1_000) {
-            arrive(draw(), drawTeam());
+            startCall(drawProfile(), drawTeam());
         }
         if (random.nextDouble() < burstPerS / 1_000) {
-            arrive(REPORTS, TEAMS[0]);
+            startCall(REPORTS, TEAMS[0]);
         }
     }
 
-    private void arrive(Profile profile, String team) {
+    private void startCall(Profile profile, String team) {
         Call call = new Call(profile, team, calls.size(), clock.nowMs());
         calls.add(call);
         call.router.offer(call);
     }
 
-    private void token(int engine, BatchEngine.Sequence s, boolean last) {
+    private void onToken(int engine, BatchEngine.Sequence s, boolean last) {
         Call call = calls.get(s.call);
         if (call.firstTokenMs < 0) {
-            call.firstTokenMs = clock.nowMs() - call.atMs;
+            call.firstTokenMs = clock.nowMs() - call.startedAtMs;
         }
         if (last) {
-            call.totalMs = clock.nowMs() - call.atMs;
+            call.totalMs = clock.nowMs() - call.startedAtMs;
             call.router.ended(call, engine);
         }
     }
 
-    private Profile draw() {
+    private Profile drawProfile() {
         int left = random.nextInt(mix.stream().mapToInt(Profile::weight).sum());
         for (Profile p : mix) {
             left -= p.weight;
@@ -240,7 +240,7 @@
         return TEAMS[i];
     }
 
-    private int length(double median, double sigma) {
+    private int drawLength(double median, double sigma) {
         return (int) Math.max(1, Math.round(median * Math.exp(sigma * random.nextGaussian())));
     }
 
@@ -249,9 +249,9 @@
         private final Profile profile;
         private final String team;
         private final int number;
-        private final long atMs;
-        private final int prompt;
-        private final int tokens;
+        private final long startedAtMs;
+        private final int promptTokens;
+        private final int outputTokens;
         private final SimulatedRouter router;
         private long firstTokenMs = -1;
         private long totalMs = -1;
@@ -261,22 +261,22 @@
             this.profile = profile;
             this.team = team;
             this.number = number;
-            this.atMs = atMs;
-            prompt = profile.template + length(profile.own, 0.5);
-            tokens = length(profile.output, profile.sigma);
+            this.startedAtMs = atMs;
+            promptTokens = profile.template + drawLength(profile.own, 0.5);
+            outputTokens = drawLength(profile.output, profile.sigma);
             router = routers.get(random.nextInt(fleet.routers));
         }
 
-        AdmissionRequest work() {
+        AdmissionRequest admissionRequest() {
             return new AdmissionRequest(
                     RequestId.of("n" + number),
                     TeamId.of(team),
                     profile.workClass,
                     MODEL,
                     VERSION,
-                    prompt,
-                    tokens,
-                    atMs);
+                    promptTokens,
+                    outputTokens,
+                    startedAtMs);
         }
 
         void addTo(Tally tally) {
@@ -337,19 +337,19 @@
         }
 
         void offer(Call call) {
-            applyDecision(admission.offer(call.work(), clock.nowMs()));
+            applyDecision(admission.offer(call.admissionRequest(), clock.nowMs()));
         }
 
         void ended(Call call, int engine) {
             inFlight.finished(EngineId.of("e" + engine), clock.nowMs());
             admission.recordEnd(RequestId.of("n" + call.number), clock.nowMs());
-            shares.recordUsage(TeamId.of(call.team), call.tokens, clock.nowMs());
+            shares.recordUsage(TeamId.of(call.team), call.outputTokens, clock.nowMs());
         }
 
         private void applyDecision(AdmissionDecision decision) {
             Call call = calls.get(Integer.parseInt(decision.request().value().substring(1)));
             if (decision instanceof Refused) {
-                call.refusedAfterMs = clock.nowMs() - call.atMs;
+                call.refusedAfterMs = clock.nowMs() - call.startedAtMs;
             } else if (decision instanceof Admitted) {
                 send(call);
             } else {
@@ -359,16 +359,16 @@
 
         private void send(Call call) {
             WorkClass c = call.profile.workClass;
-            RouteQuery query = RouteQuery.first(MODEL, VERSION, c.id(), call.prompt, List.of());
+            RouteQuery query = RouteQuery.first(MODEL, VERSION, c.id(), call.promptTokens, List.of());
             Chosen chosen = (Chosen) chooser.choose(snapshot, query, clock.nowMs());
             inFlight.sent(chosen, clock.nowMs());
             admission.recordSend(RequestId.of("n" + call.number));
-            shares.recordUsage(TeamId.of(call.team), call.prompt, clock.nowMs());
+            shares.recordUsage(TeamId.of(call.team), call.promptTokens, clock.nowMs());
             int engine = Integer.parseInt(chosen.view().id().value().substring(1));
             engines.get(engine)
                     .submit(
                             new BatchEngine.Sequence(
-                                    call.number, c.firstTokenMs(), call.prompt, call.tokens));
+                                    call.number, c.firstTokenMs(), call.promptTokens, call.outputTokens));
         }
 
         private void poll(long now) {
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
@@ -17,9 +17,9 @@
  * without each mechanism.
  */
 class OverloadTest {
-    private static final ImmutableList<Profile> LONG =
+    private static final ImmutableList<Profile> LONG_PROFILES =
             ImmutableList.of(OverloadReplay.REPORTS, OverloadReplay.LETTERS);
-    private static final ImmutableList<Profile> ALL =
+    private static final ImmutableList<Profile> ALL_PROFILES =
             ImmutableList.of(
                     OverloadReplay.REPORTS,
                     OverloadReplay.LETTERS,
@@ -27,13 +27,13 @@
                     OverloadReplay.CONFIRMATIONS);
 
     /** Requests a second that two engines serve within target. */
-    private static final double LONG_RATE = 7.5;
+    private static final double LONG_REQUESTS_PER_S = 7.5;
 
-    private static final double ALL_RATE = 20;
+    private static final double ALL_REQUESTS_PER_S = 20;
 
     private static List<OverloadReplay> replay(
             ImmutableList<Profile> mix, double load, String... lines) {
-        double rate = (mix.equals(ALL) ? ALL_RATE : LONG_RATE) * load;
+        double rate = (mix.equals(ALL_PROFILES) ? ALL_REQUESTS_PER_S : LONG_REQUESTS_PER_S) * load;
         return OverloadReplay.runs(mix, 2, limitSettings(lines), rate, 0);
     }
 
@@ -45,7 +45,7 @@
                         .limits());
     }
 
-    private static Tally of(List<OverloadReplay> runs, Profile profile) {
+    private static Tally resultsOf(List<OverloadReplay> runs, Profile profile) {
         return OverloadReplay.sum(runs, r -> r.of(profile));
     }
 
@@ -54,15 +54,15 @@
             ImmutableList<Profile> mix, double load, String... lines) {
         List<OverloadReplay> replay = replay(mix, load, lines);
         System.out.printf("%.1fx %s%n", load, String.join(", ", lines));
-        mix.forEach(p -> System.out.printf("  %s %s%n", p.workClass().id(), of(replay, p)));
+        mix.forEach(p -> System.out.printf("  %s %s%n", p.workClass().id(), resultsOf(replay, p)));
         return replay;
     }
 
     private static void assertGoodputKept(
             List<OverloadReplay> once, List<OverloadReplay> twice, ImmutableList<Profile> mix) {
         for (Profile p : mix) {
-            Tally at1 = of(once, p);
-            Tally at2 = of(twice, p);
+            Tally at1 = resultsOf(once, p);
+            Tally at2 = resultsOf(twice, p);
             assertTrue(at2.inTarget >= 0.9 * at1.inTarget, p + ": " + at1 + ", " + at2);
         }
     }
@@ -77,10 +77,10 @@
          */
         @Test
         void lettersKeepTheirShareBesideReports() {
-            List<OverloadReplay> once = replayAndPrint(LONG, 1);
-            List<OverloadReplay> twice = replayAndPrint(LONG, 2);
-            assertGoodputKept(once, twice, LONG);
-            assertTrue(of(twice, OverloadReplay.LETTERS).share() >= 0.98);
+            List<OverloadReplay> once = replayAndPrint(LONG_PROFILES, 1);
+            List<OverloadReplay> twice = replayAndPrint(LONG_PROFILES, 2);
+            assertGoodputKept(once, twice, LONG_PROFILES);
+            assertTrue(resultsOf(twice, OverloadReplay.LETTERS).share() >= 0.98);
         }
 
         /*
@@ -89,14 +89,14 @@
          */
         @Test
         void lookupsAndConfirmationsAreInTimeWhereReportsQueue() {
-            List<OverloadReplay> once = replayAndPrint(ALL, 1);
-            List<OverloadReplay> twice = replayAndPrint(ALL, 2);
+            List<OverloadReplay> once = replayAndPrint(ALL_PROFILES, 1);
+            List<OverloadReplay> twice = replayAndPrint(ALL_PROFILES, 2);
             List<OverloadReplay> off =
-                    replayAndPrint(ALL, 2, "headroom_percent = 0", "overcommit_percent = 0");
-            assertGoodputKept(once, twice, ALL);
-            assertTrue(of(twice, OverloadReplay.LOOKUPS).share() >= 0.95);
-            assertTrue(of(twice, OverloadReplay.CONFIRMATIONS).share() >= 0.95);
-            assertTrue(of(off, OverloadReplay.LOOKUPS).share() < 0.8);
+                    replayAndPrint(ALL_PROFILES, 2, "headroom_percent = 0", "overcommit_percent = 0");
+            assertGoodputKept(once, twice, ALL_PROFILES);
+            assertTrue(resultsOf(twice, OverloadReplay.LOOKUPS).share() >= 0.95);
+            assertTrue(resultsOf(twice, OverloadReplay.CONFIRMATIONS).share() >= 0.95);
+            assertTrue(resultsOf(off, OverloadReplay.LOOKUPS).share() < 0.8);
         }
 
         /*
@@ -106,10 +106,10 @@
          */
         @Test
         void lateRequestsAreRefusedEarly() {
-            Tally on = of(replay(LONG, 2), OverloadReplay.REPORTS);
+            Tally on = resultsOf(replay(LONG_PROFILES, 2), OverloadReplay.REPORTS);
             Tally off =
-                    of(
-                            replayAndPrint(LONG, 2, "predicted_refusal = false"),
+                    resultsOf(
+                            replayAndPrint(LONG_PROFILES, 2, "predicted_refusal = false"),
                             OverloadReplay.REPORTS);
             assertTrue(2 * on.refusedAfterMs / on.refused < off.refusedAfterMs / off.refused);
             assertTrue(on.late < off.late, on + ", " + off);
@@ -128,7 +128,7 @@
             List<OverloadReplay> once = replay(mix, 1);
             List<OverloadReplay> more = replayAndPrint(mix, load, lines);
             return mix.stream()
-                    .mapToDouble(p -> (double) of(more, p).inTarget / of(once, p).inTarget)
+                    .mapToDouble(p -> (double) resultsOf(more, p).inTarget / resultsOf(once, p).inTarget)
                     .min()
                     .orElseThrow();
         }
@@ -136,33 +136,33 @@
         @ParameterizedTest
         @ValueSource(doubles = {1.5, 2})
         void classSharesKeepEachClass(double load) {
-            double on = minGoodputKept(ALL, load);
-            double off = minGoodputKept(ALL, load, "class_shares = false");
+            double on = minGoodputKept(ALL_PROFILES, load);
+            double off = minGoodputKept(ALL_PROFILES, load, "class_shares = false");
             assertTrue(on >= 0.9 && off < 0.9, on + " with, " + off + " without");
         }
 
         @ParameterizedTest
         @ValueSource(strings = {"headroom_percent = 0", "overcommit_percent = 0"})
         void headroomAndOvercommitKeepLookupsInTime(String off) {
-            double on = of(replay(ALL, 2), OverloadReplay.LOOKUPS).share();
-            double without = of(replayAndPrint(ALL, 2, off), OverloadReplay.LOOKUPS).share();
+            double on = resultsOf(replay(ALL_PROFILES, 2), OverloadReplay.LOOKUPS).share();
+            double without = resultsOf(replayAndPrint(ALL_PROFILES, 2, off), OverloadReplay.LOOKUPS).share();
             assertTrue(on >= 0.95 && without <= on - 0.03, on + " with, " + without + " without");
         }
 
         @ParameterizedTest
         @ValueSource(doubles = {1.5, 2})
         void queueDeadlinesKeepReports(double load) {
-            double on = minGoodputKept(LONG, load);
+            double on = minGoodputKept(LONG_PROFILES, load);
             double off =
                     minGoodputKept(
-                            LONG, load, "predicted_refusal = false", "queue_deadlines = false");
+                            LONG_PROFILES, load, "predicted_refusal = false", "queue_deadlines = false");
             assertTrue(on >= 0.9 && off < 0.5, on + " with, " + off + " without");
         }
     }
 
     /** A large team's burst together with teams of low usage. */
     @Nested
-    class Burst {
+    class TeamBurst {
         /*
          * Guards against refused reports of small teams while the large team submits a season's
          * work, more than twice the rate that the engines can serve. This happens if teams are
@@ -195,9 +195,9 @@
         }
 
         private Tally burst(OverloadReplay.Fleet fleet, String... lines) {
-            double rate = LONG_RATE * 0.6;
+            double rate = LONG_REQUESTS_PER_S * 0.6;
             List<OverloadReplay> runs =
-                    OverloadReplay.runs(LONG, 2, fleet, limitSettings(lines), rate, LONG_RATE * 2);
+                    OverloadReplay.runs(LONG_PROFILES, 2, fleet, limitSettings(lines), rate, LONG_REQUESTS_PER_S * 2);
             Tally small = OverloadReplay.sum(runs, r -> r.ofSmallTeams(OverloadReplay.REPORTS));
             System.out.printf("burst %s %s%n  %s%n", fleet, String.join(", ", lines), small);
             return small;
--- a/masticweir/src/test/java/org/masticweir/limits/SnapshotCapacityTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/SnapshotCapacityTest.java
@@ -33,7 +33,7 @@
 
     /** Several routers that share one engine. */
     @Nested
-    class Shared {
+    class SharedEngine {
         @Test
         void freeSlotsAreDividedLessOwnSendsSinceTheReport() {
             InFlight inFlight = InFlight.create();
--- a/masticweir/src/test/java/org/masticweir/limits/TeamSharesTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/TeamSharesTest.java
@@ -19,7 +19,7 @@
 
     /** A team spreads its requests over all routers. */
     @Nested
-    class Spread {
+    class SpreadRequests {
         @Test
         void lowersTheWeightEverywhereAndRestoresItLater() {
             TeamShares here = shares("r0");
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
@@ -23,7 +23,7 @@
 
     private static final long BATCH_MS = 5;
     private static final int MAX_DELAY_MS = 20;
-    private static final long RELINK_MS = 500;
+    private static final long LINK_RESTORE_MS = 500;
     private static final long INQUIRY_MS = 3;
     private static final long RETRY_MS = 10;
     private static final long REQUEST_TIMEOUT_MS = 2_250;
@@ -45,11 +45,11 @@
 
     private final Map<ContentId, List<Long>> crashesMs = new HashMap<>();
     private final Map<ContentId, List<Long>> sendsMs = new HashMap<>();
-    private int submitted;
-    private int answered;
+    private int submittedCount;
+    private int answeredCount;
     private int rejectedCount;
 
-    private record Event(long atMs, int number, Runnable what) implements Comparable<Event> {
+    private record Event(long atMs, int number, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return atMs == other.atMs
@@ -79,9 +79,9 @@
         private final ContentId content;
         private final boolean isCrashing;
         private final long receivedMs = nowMs;
-        private int sends;
+        private int sendCount;
         private long sentMs;
-        private long beganMs;
+        private long runStartedMs;
         private boolean isOnTrial;
         private boolean isDone;
 
@@ -101,7 +101,7 @@
             if (rule == SendRule.REJECT) {
                 rejectedCount++;
                 isDone = true;
-            } else if (sends >= ATTEMPTS || nowMs - receivedMs > REQUEST_TIMEOUT_MS && sends == 0) {
+            } else if (sendCount >= ATTEMPTS || nowMs - receivedMs > REQUEST_TIMEOUT_MS && sendCount == 0) {
                 isDone = true;
             } else if (rule == SendRule.WAIT || server.isEmpty()) {
                 schedule(RETRY_MS, this::trySend);
@@ -121,26 +121,26 @@
         }
 
         private void send(Server server) {
-            sends++;
+            sendCount++;
             sentMs = nowMs;
-            beganMs = Long.MAX_VALUE;
+            runStartedMs = Long.MAX_VALUE;
             sendsMs.computeIfAbsent(content, c -> new ArrayList<>()).add(nowMs);
             isOnTrial = quarantine().beginTrial(content, nowMs);
             broadcast(router);
             server.runs.add(this);
-            int send = sends;
-            schedule(PREFILL_MS + random.nextInt(PREFILL_MS), () -> begin(server, send));
+            int send = sendCount;
+            schedule(PREFILL_MS + random.nextInt(PREFILL_MS), () -> beginRun(server, send));
         }
 
         private boolean isRunningAt(Server server, int send) {
-            return !isDone && sends == send && server.runs.contains(this);
+            return !isDone && sendCount == send && server.runs.contains(this);
         }
 
-        private void begin(Server server, int send) {
+        private void beginRun(Server server, int send) {
             if (!isRunningAt(server, send)) {
                 return;
             }
-            beganMs = nowMs;
+            runStartedMs = nowMs;
             if (isCrashing) {
                 schedule(CRASH_MS, () -> crash(server, send));
                 return;
@@ -169,7 +169,7 @@
                 server.runs.remove(this);
                 endTrial();
                 isDone = true;
-                answered++;
+                answeredCount++;
             }
         }
 
@@ -183,7 +183,7 @@
 
         void handleLoss(ServerIncarnation incarnation) {
             endTrial();
-            if (nowMs - beganMs >= Quarantine.TRIAL_MS) {
+            if (nowMs - runStartedMs >= Quarantine.TRIAL_MS) {
                 trySend();
                 return;
             }
@@ -225,12 +225,12 @@
         while (!events.isEmpty() && events.peek().atMs() <= untilMs) {
             Event next = events.poll();
             nowMs = next.atMs();
-            next.what().run();
+            next.action().run();
         }
     }
 
     void submit(ContentId content, boolean harmful) {
-        submitted++;
+        submittedCount++;
         new Submission(random.nextInt(routers.size()), content, harmful).trySend();
     }
 
@@ -283,7 +283,7 @@
         boolean linkDown = random.nextInt(50) == 0;
         if (linkDown) {
             schedule(
-                    RELINK_MS,
+                    LINK_RESTORE_MS,
                     () -> handleUpdates(router, peer, routers.get(router).snapshot(nowMs)));
             return;
         }
@@ -322,12 +322,12 @@
         return sendsMs.get(content).stream().filter(s -> s <= firstMs + MAX_UPDATE_MS).count();
     }
 
-    int submitted() {
-        return submitted;
+    int submittedCount() {
+        return submittedCount;
     }
 
-    int answered() {
-        return answered;
+    int answeredCount() {
+        return answeredCount;
     }
 
     /**
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleetTest.java
@@ -20,16 +20,16 @@
     private static final int SEEDS = 5;
 
     /** Time after the third crash by which all routers must have received it, in ms. */
-    private static final long UPDATE_MS = 3_000;
+    private static final long UPDATE_DEADLINE_MS = 3_000;
 
     /** Maximum number of sends after that time. */
-    private static final int MAX_SENDS_AFTER = 3;
+    private static final int MAX_LATE_SENDS = 3;
 
-    private int contents;
+    private int contentCount;
 
     private ContentId freshContent() {
-        contents++;
-        return ContentId.of("c" + contents);
+        contentCount++;
+        return ContentId.of("c" + contentCount);
     }
 
     /** One content that crashes its servers is submitted to routers at random. */
@@ -42,8 +42,8 @@
                 QuarantineFleet fleet = new QuarantineFleet(routers, SERVERS, seed);
                 fleet.scheduleEvery(1_000, END_MS, () -> fleet.submit(CONTENT, true));
                 fleet.runUntil(END_MS);
-                long after = fleet.sendsAfterThirdCrash(CONTENT, UPDATE_MS);
-                assertTrue(after <= MAX_SENDS_AFTER, "seed " + seed + ": " + after + " sends");
+                long after = fleet.sendsAfterThirdCrash(CONTENT, UPDATE_DEADLINE_MS);
+                assertTrue(after <= MAX_LATE_SENDS, "seed " + seed + ": " + after + " sends");
             }
         }
 
@@ -55,10 +55,10 @@
                 fleet.scheduleEvery(50, 1_000, () -> fleet.submit(CONTENT, true));
                 fleet.scheduleEvery(300, END_MS, () -> fleet.submit(CONTENT, true));
                 fleet.runUntil(END_MS);
-                long after = fleet.sendsAfterThirdCrash(CONTENT, UPDATE_MS);
+                long after = fleet.sendsAfterThirdCrash(CONTENT, UPDATE_DEADLINE_MS);
                 int ended = fleet.crashCount(CONTENT);
                 String seen = "seed " + seed + ": " + ended + " ended, " + after + " sends after";
-                assertTrue(after <= MAX_SENDS_AFTER, seen);
+                assertTrue(after <= MAX_LATE_SENDS, seen);
                 long early = fleet.sendsBeforeFirstUpdate(CONTENT);
                 assertTrue(ended <= early + Quarantine.CRASH_LIMIT, seen + ", " + early);
             }
@@ -105,15 +105,15 @@
          */
         @Test
         void isRarelyHeldWhileServersEndFrequently() {
-            int held = 0;
+            int rejected = 0;
             int submitted = 0;
             for (int seed = 0; seed < SEEDS; seed++) {
                 QuarantineFleet fleet = new QuarantineFleet(8, SERVERS, seed);
                 runWithFaults(2_000, fleet::endAnyServer, fleet);
-                held += fleet.rejectedCount();
-                submitted += fleet.submitted();
+                rejected += fleet.rejectedCount();
+                submitted += fleet.submittedCount();
             }
-            assertTrue(held * 500 <= submitted, held + " of " + submitted + " were held");
+            assertTrue(rejected * 500 <= submitted, rejected + " of " + submitted + " were held");
         }
     }
 }
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
@@ -22,11 +22,11 @@
 
 /** Tests when a content is quarantined and when it is cleared. */
 class QuarantineTest {
-    private static final long HOLD_MS = 3_600_000;
+    private static final long MAX_QUARANTINE_MS = 3_600_000;
     private static final ContentId CONTENT = ContentId.of("content");
     private static final RouterId PEER = RouterId.of("r2");
 
-    private final Quarantine quarantine = Quarantine.create(RouterId.of("r1"), HOLD_MS);
+    private final Quarantine quarantine = Quarantine.create(RouterId.of("r1"), MAX_QUARANTINE_MS);
 
     private static ServerIncarnation incarnation(int number) {
         return ServerIncarnation.of(EngineId.of("i-" + number), 1_000 + number);
@@ -51,7 +51,7 @@
 
     /** Losses that count, and the limit. */
     @Nested
-    class Evidence {
+    class CountedLosses {
         @Test
         void contentIsRejectedFromTheLimitOn() {
             assertEquals(SendRule.ANY_SERVER, sendRule(0));
@@ -200,7 +200,7 @@
         @Test
         void evidenceIsRemovedAfterTheLongestHold() {
             loseThreeServers(0);
-            assertEquals(SendRule.ANY_SERVER, sendRule(HOLD_MS));
+            assertEquals(SendRule.ANY_SERVER, sendRule(MAX_QUARANTINE_MS));
         }
 
         /** Without this, routers would keep sending each other an old content forever. */
@@ -209,7 +209,7 @@
             loseThreeServers(0);
             long halfMs = Quarantine.FIRST_QUARANTINE_MS / 2;
             ContentUpdate same = quarantine.snapshot(halfMs).get(0);
-            Quarantine other = Quarantine.create(PEER, HOLD_MS);
+            Quarantine other = Quarantine.create(PEER, MAX_QUARANTINE_MS);
             other.handleUpdate(RouterId.of("r1"), same, halfMs);
             assertEquals(halfMs, other.remainingQuarantineMs(CONTENT, halfMs));
         }
@@ -300,7 +300,7 @@
             List<ContentUpdate> shuffled = new ArrayList<>(updates);
             shuffled.addAll(updates.subList(0, random.nextInt(updates.size())));
             Collections.shuffle(shuffled, random);
-            Quarantine quarantine = Quarantine.create(RouterId.of("r3"), HOLD_MS);
+            Quarantine quarantine = Quarantine.create(RouterId.of("r3"), MAX_QUARANTINE_MS);
             shuffled.forEach(u -> quarantine.handleUpdate(PEER, u, 0));
             return quarantine;
         }
