--- a/masticweir/src/main/java/org/masticweir/claims/ClaimAction.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimAction.java
@@ -6,7 +6,7 @@
 
 /** An action that a claim's state machine requests. */
 public sealed interface ClaimAction {
-    /** Write this row and report the outcome under the ticket of the write. */
+    /** Write this row and report the outcome with the ticket of the write. */
     record Write(ClaimWrite write) implements ClaimAction {
         public Write {
             checkNotNull(write, "write");
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
@@ -7,7 +7,9 @@
 public enum ClaimStatus {
     /** The owner may send or has sent; other routers must not send. */
     CLAIMED(false, Verdict.MAY_HAVE_RUN),
-    /** Nothing was or will be sent under this claim; any router may claim the request again. */
+    /**
+     * Nothing was sent or will be sent under this claim; any router may claim the request again.
+     */
     RELEASED(true, Verdict.NOT_RUN),
     /** The request ended; the row contains its verdict. */
     DONE(false, Verdict.MAY_HAVE_RUN);
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimWriteResponse.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteResponse.java
@@ -8,7 +8,7 @@
 import org.masticweir.store.RowKey;
 
 /**
- * The outcome of a write that a claimant delegated.
+ * The outcome of a delegated write.
  *
  * @param number revision if committed or conflicted, otherwise the delay before a retry in
  *     milliseconds
--- a/masticweir/src/main/java/org/masticweir/claims/WriteDelegation.java
+++ b/masticweir/src/main/java/org/masticweir/claims/WriteDelegation.java
@@ -38,7 +38,7 @@
             BatchItem item, RouterId writer, boolean isAccepted, long expiresAtMs) {
         /**
          * Returns whether the write is delayed by load: a busy writer postpones rows that no caller
-         * waits for, which does not indicate a failure of the writer.
+         * waits for. Such a delay does not indicate a failure of the writer.
          */
         boolean isDelayedByLoad() {
             return isAccepted && !item.write().isUrgent();
--- a/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
+++ b/masticweir/src/main/java/org/masticweir/limits/AdmissionController.java
@@ -153,7 +153,11 @@
         ImmutableList.Builder<AdmissionDecision> decisions = ImmutableList.builder();
         queues.forEach((key, queue) -> tick(key, queue, nowMs, decisions));
         queues.values()
-                .removeIf(q -> q.queuedCount() == 0 && q.load().runningCount() == 0 && hasTooManyQueues());
+                .removeIf(
+                        q ->
+                                q.queuedCount() == 0
+                                        && q.load().runningCount() == 0
+                                        && hasTooManyQueues());
         return decisions.build();
     }
 
--- a/masticweir/src/main/java/org/masticweir/limits/HoldTimeEstimate.java
+++ b/masticweir/src/main/java/org/masticweir/limits/HoldTimeEstimate.java
@@ -2,7 +2,7 @@
 
 /** Recent statistics on how long requests occupy their slots; not thread-safe. */
 final class HoldTimeEstimate {
-    /** Smallest weight of one finished request; the first requests all have equal weight. */
+    /** Minimum weight of one finished request; the first requests have equal weights. */
     private static final double MIN_SMOOTHING = 0.01;
 
     private double smoothing = 1;
--- a/masticweir/src/main/java/org/masticweir/limits/LimitSettings.java
+++ b/masticweir/src/main/java/org/masticweir/limits/LimitSettings.java
@@ -5,8 +5,8 @@
 import org.masticweir.settings.DaemonSettings;
 
 /**
- * Settings of the limits, from the daemon's settings; each boolean setting disables one mechanism
- * for comparison.
+ * Settings of the limits, from the daemon's settings; each boolean setting enables or disables one
+ * mechanism, for comparisons.
  *
  * <p>Immutable.
  */
--- a/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ModelQueue.java
@@ -164,7 +164,7 @@
     /**
      * Removes the requests that can no longer meet their targets and adds them to {@code late}.
      *
-     * <p>A prediction for one team iterates over all teams; with thousands of queued teams a tick
+     * <p>A prediction for one team iterates over all teams; with thousands of queued teams, a tick
      * would last longer than the tick interval. Each tick therefore predicts for a limited number
      * of teams, in rotation; requests that would be late even if sent now are found in every tick.
      */
--- a/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
+++ b/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
@@ -46,7 +46,7 @@
     /**
      * Returns a source for a router that shares the engines with other routers.
      *
-     * @param routerCount number of routers, including this one, that send to the engines of the
+     * @param routerCount number of routers, including this router, that send to the engines of the
      *     snapshot
      */
     public static SnapshotCapacity create(
--- a/masticweir/src/main/java/org/masticweir/limits/TeamUsageDigest.java
+++ b/masticweir/src/main/java/org/masticweir/limits/TeamUsageDigest.java
@@ -14,7 +14,10 @@
  * @param activeTeams teams with recent usage
  */
 public record TeamUsageDigest(List<TeamUsage> top, double totalTokensPerS, int activeTeams) {
-    /** Most teams in one digest; bounds the cost of an exchange for any number of teams. */
+    /**
+     * Maximum number of teams in one digest; limits the cost of an exchange for any number of
+     * teams.
+     */
     public static final int MAX_TOP = 16;
 
     public TeamUsageDigest {
--- a/masticweir/src/main/java/org/masticweir/quarantine/CrashRecord.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/CrashRecord.java
@@ -39,7 +39,7 @@
                 withdrawn.size());
     }
 
-    /** Returns the record of a content under which no server has ended. */
+    /** Returns a record of {@code content} without losses. */
     public static CrashRecord of(ContentId content) {
         return new CrashRecord(content, ImmutableList.of(), ImmutableSet.of());
     }
--- a/masticweir/src/main/java/org/masticweir/quarantine/Loss.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/Loss.java
@@ -16,7 +16,7 @@
     /** Maximum difference between the times that two routers store for one event, in ms. */
     private static final long CLOCK_TOLERANCE_MS = 100;
 
-    /** Servers that end within this time of each other may have a common cause, in ms. */
+    /** Maximum time between the ends of two servers that may have a common cause, in ms. */
     private static final long COMMON_CAUSE_MS = 250;
 
     /**
--- a/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
@@ -31,8 +31,8 @@
  * Saves crash records in the platform's durable store; owned by the control thread.
  *
  * <p>Without this, the loss of all routers at once would lose all recorded losses. A record with
- * one server is not saved: most contents with one loss are cleared soon, and without the record at
- * most two more servers end.
+ * one server is not saved: most contents with one loss run successfully soon, and without the
+ * record at most two more servers end.
  */
 public final class QuarantineStore {
     private static final Logger LOG = LogManager.getLogger(QuarantineStore.class);
@@ -108,7 +108,8 @@
     }
 
     /**
-     * Saves a record, or deletes its row if its content is cleared; may be called on any thread.
+     * Saves a record, or deletes its row if no loss of the content counts any more; may be called
+     * on any thread.
      */
     public void save(CrashRecord record) {
         onControl(
--- a/masticweir/src/main/java/org/masticweir/quarantine/SharedQuarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/SharedQuarantine.java
@@ -235,7 +235,10 @@
         return quarantine.record(content);
     }
 
-    /** Batches the changes of some milliseconds: a server that ends may affect several contents. */
+    /**
+     * Sends the changes of some milliseconds together, since the end of one server may affect
+     * several contents.
+     */
     private void scheduleBatch() {
         if (isBatchScheduled || !quarantine.hasUpdates()) {
             return;
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimDomain.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimDomain.java
@@ -244,8 +244,8 @@
     }
 
     /**
-     * Has {@code router} claim {@code key}, run it for {@code runMs} if the claim is granted, and
-     * report its end.
+     * Claims {@code key} at {@code router}. If the claim is granted, runs the request for {@code
+     * runMs} and reports its end.
      */
     void claim(Router router, String key, long runMs) {
         long startMs = now();
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimServiceTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimServiceTest.java
@@ -114,7 +114,8 @@
         void lostAnswerIsSettledByTheNonce() {
             table.loseAnswers(1);
             permitOf(claim(firstService, LETTER).join());
-            assertInstanceOf(ClaimDecision.AlreadyClaimed.class, claim(secondService, LETTER).join());
+            assertInstanceOf(
+                    ClaimDecision.AlreadyClaimed.class, claim(secondService, LETTER).join());
         }
 
         /** While the table is unavailable the caller is refused at once with a retry delay. */
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimSharingTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimSharingTest.java
@@ -112,7 +112,7 @@
         }
 
         /**
-         * Only the writer loses its connection to the table; no callers of other routers may be
+         * Only the writer loses its connection to the table; callers of other routers must not be
          * refused.
          */
         @Test
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimWorld.java
@@ -84,7 +84,7 @@
         }
     }
 
-    /** A group in transit; a null router has crashed. */
+    /** A group in transit; the router is null after a crash. */
     private record SentGroup(Router router, ClaimGroup group) {}
 
     private final Random random;
@@ -127,8 +127,8 @@
     }
 
     /**
-     * The same with the plain policy that the writer's acceptance of a write already permits the
-     * send.
+     * Returns a world with shared writes and the plain policy that the writer's acceptance of a
+     * write already permits the send.
      */
     static ClaimWorld withTrustedAcceptance(long seed) {
         return new ClaimWorld(seed, false, true, true);
@@ -268,7 +268,8 @@
 
         private void deliverResponse(ClaimWriteResponse response) {
             responseCount++;
-            applyDelegationActions(claimant, key, claimant.delegation.onResponse(key, response, false, nowMs));
+            applyDelegationActions(
+                    claimant, key, claimant.delegation.onResponse(key, response, false, nowMs));
         }
 
         @Override
@@ -277,7 +278,8 @@
         }
     }
 
-    private void applyDelegationActions(Router router, ClaimWriteId key, List<DelegationAction> actions) {
+    private void applyDelegationActions(
+            Router router, ClaimWriteId key, List<DelegationAction> actions) {
         for (DelegationAction action : actions) {
             router.pendingWrites.remove(key);
             if (action instanceof DelegationAction.Report t) {
@@ -327,7 +329,8 @@
             outcome = table.apply(sent.group().transaction());
         }
         if (known) {
-            for (BatchEvent e : sent.router().batcher.onOutcome(sent.group().id(), outcome, nowMs)) {
+            for (BatchEvent e :
+                    sent.router().batcher.onOutcome(sent.group().id(), outcome, nowMs)) {
                 if (!sent.router().peerWrites.respond(e)) {
                     deliver(sent.router(), e.claim(), e.event());
                 }
--- a/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/AdmissionTest.java
@@ -162,9 +162,9 @@
     @Nested
     class Fairness {
         /*
-         * Guards against errors for small teams while one large team submits a month's work. With a
-         * single queue in order of arrival the burst fills the queue, and every later request is
-         * predicted to be late.
+         * Guards against errors for small teams while one large team submits the reports of a
+         * month. With a single queue in order of arrival the burst fills the queue, and every later
+         * request is predicted to be late.
          */
         @Test
         void aBurstOfOneTeamDoesNotDelayOthers() {
--- a/masticweir/src/test/java/org/masticweir/limits/BatchEngine.java
+++ b/masticweir/src/test/java/org/masticweir/limits/BatchEngine.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Runs until {@code now}; {@code token} receives each sequence with a new token and whether it
-     * was its last.
+     * Runs until {@code now}; {@code token} receives each sequence with a new token and whether
+     * this token was the last token of the sequence.
      */
     void runTo(long now, BiConsumer<Sequence, Boolean> token) {
         if (stepEndsMs >= 0 && now >= stepEndsMs) {
--- a/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/LimitTuningTest.java
@@ -21,8 +21,8 @@
 import org.masticweir.settings.DaemonSettings;
 
 /**
- * Tests which mechanism each boolean setting of the limits disables; trials use these settings as
- * baselines.
+ * Tests which mechanism each boolean setting of the limits enables or disables; trials use these
+ * settings as baselines.
  */
 class LimitTuningTest {
     static final String MINIMAL_SETTINGS =
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadReplay.java
@@ -359,7 +359,8 @@
 
         private void send(Call call) {
             WorkClass c = call.profile.workClass;
-            RouteQuery query = RouteQuery.first(MODEL, VERSION, c.id(), call.promptTokens, List.of());
+            RouteQuery query =
+                    RouteQuery.first(MODEL, VERSION, c.id(), call.promptTokens, List.of());
             Chosen chosen = (Chosen) chooser.choose(snapshot, query, clock.nowMs());
             inFlight.sent(chosen, clock.nowMs());
             admission.recordSend(RequestId.of("n" + call.number));
@@ -368,7 +369,10 @@
             engines.get(engine)
                     .submit(
                             new BatchEngine.Sequence(
-                                    call.number, c.firstTokenMs(), call.promptTokens, call.outputTokens));
+                                    call.number,
+                                    c.firstTokenMs(),
+                                    call.promptTokens,
+                                    call.outputTokens));
         }
 
         private void poll(long now) {
--- a/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
+++ b/masticweir/src/test/java/org/masticweir/limits/OverloadTest.java
@@ -92,7 +92,8 @@
             List<OverloadReplay> once = replayAndPrint(ALL_PROFILES, 1);
             List<OverloadReplay> twice = replayAndPrint(ALL_PROFILES, 2);
             List<OverloadReplay> off =
-                    replayAndPrint(ALL_PROFILES, 2, "headroom_percent = 0", "overcommit_percent = 0");
+                    replayAndPrint(
+                            ALL_PROFILES, 2, "headroom_percent = 0", "overcommit_percent = 0");
             assertGoodputKept(once, twice, ALL_PROFILES);
             assertTrue(resultsOf(twice, OverloadReplay.LOOKUPS).share() >= 0.95);
             assertTrue(resultsOf(twice, OverloadReplay.CONFIRMATIONS).share() >= 0.95);
@@ -117,7 +118,7 @@
         }
     }
 
-    /** Each mechanism compared with the same replay without it. */
+    /** Compares each mechanism with a replay without this mechanism. */
     @Nested
     class Mechanisms {
         /**
@@ -128,7 +129,8 @@
             List<OverloadReplay> once = replay(mix, 1);
             List<OverloadReplay> more = replayAndPrint(mix, load, lines);
             return mix.stream()
-                    .mapToDouble(p -> (double) resultsOf(more, p).inTarget / resultsOf(once, p).inTarget)
+                    .mapToDouble(
+                            p -> (double) resultsOf(more, p).inTarget / resultsOf(once, p).inTarget)
                     .min()
                     .orElseThrow();
         }
@@ -145,7 +147,8 @@
         @ValueSource(strings = {"headroom_percent = 0", "overcommit_percent = 0"})
         void headroomAndOvercommitKeepLookupsInTime(String off) {
             double on = resultsOf(replay(ALL_PROFILES, 2), OverloadReplay.LOOKUPS).share();
-            double without = resultsOf(replayAndPrint(ALL_PROFILES, 2, off), OverloadReplay.LOOKUPS).share();
+            double without =
+                    resultsOf(replayAndPrint(ALL_PROFILES, 2, off), OverloadReplay.LOOKUPS).share();
             assertTrue(on >= 0.95 && without <= on - 0.03, on + " with, " + without + " without");
         }
 
@@ -155,7 +158,10 @@
             double on = minGoodputKept(LONG_PROFILES, load);
             double off =
                     minGoodputKept(
-                            LONG_PROFILES, load, "predicted_refusal = false", "queue_deadlines = false");
+                            LONG_PROFILES,
+                            load,
+                            "predicted_refusal = false",
+                            "queue_deadlines = false");
             assertTrue(on >= 0.9 && off < 0.5, on + " with, " + off + " without");
         }
     }
@@ -164,9 +170,9 @@
     @Nested
     class TeamBurst {
         /*
-         * Guards against refused reports of small teams while the large team submits a season's
-         * work, more than twice the rate that the engines can serve. This happens if teams are
-         * served in order of arrival.
+         * Guards against refused reports of small teams while the large team submits the reports of
+         * a season, at more than twice the rate that the engines can serve. This happens if teams
+         * are served in order of arrival.
          */
         @Test
         void smallTeamsKeepTheirTargets() {
@@ -180,7 +186,7 @@
         /*
          * Guards against refused reports of small teams with more routers: each router receives an
          * eighth of the burst, which is hardly above the large team's share there. Without the
-         * usage of the other routers it does not reduce the team's weight.
+         * usage of the other routers, a router does not reduce the team's weight.
          */
         @Test
         void usageExchangeKeepsTargetsWithEightRouters() {
@@ -197,7 +203,13 @@
         private Tally burst(OverloadReplay.Fleet fleet, String... lines) {
             double rate = LONG_REQUESTS_PER_S * 0.6;
             List<OverloadReplay> runs =
-                    OverloadReplay.runs(LONG_PROFILES, 2, fleet, limitSettings(lines), rate, LONG_REQUESTS_PER_S * 2);
+                    OverloadReplay.runs(
+                            LONG_PROFILES,
+                            2,
+                            fleet,
+                            limitSettings(lines),
+                            rate,
+                            LONG_REQUESTS_PER_S * 2);
             Tally small = OverloadReplay.sum(runs, r -> r.ofSmallTeams(OverloadReplay.REPORTS));
             System.out.printf("burst %s %s%n  %s%n", fleet, String.join(", ", lines), small);
             return small;
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleet.java
@@ -101,7 +101,8 @@
             if (rule == SendRule.REJECT) {
                 rejectedCount++;
                 isDone = true;
-            } else if (sendCount >= ATTEMPTS || nowMs - receivedMs > REQUEST_TIMEOUT_MS && sendCount == 0) {
+            } else if (sendCount >= ATTEMPTS
+                    || nowMs - receivedMs > REQUEST_TIMEOUT_MS && sendCount == 0) {
                 isDone = true;
             } else if (rule == SendRule.WAIT || server.isEmpty()) {
                 schedule(RETRY_MS, this::trySend);
@@ -210,14 +211,14 @@
         }
     }
 
-    void schedule(long ms, Runnable what) {
-        events.add(new Event(nowMs + ms, nextEventNumber++, what));
+    void schedule(long ms, Runnable action) {
+        events.add(new Event(nowMs + ms, nextEventNumber++, action));
     }
 
-    /** Runs {@code what} every {@code gapMs} until {@code untilMs}. */
-    void scheduleEvery(long gapMs, long untilMs, Runnable what) {
+    /** Runs {@code action} every {@code gapMs} until {@code untilMs}. */
+    void scheduleEvery(long gapMs, long untilMs, Runnable action) {
         for (long at = gapMs; at <= untilMs; at += gapMs) {
-            schedule(at, what);
+            schedule(at, action);
         }
     }
 
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleetTest.java
@@ -104,7 +104,7 @@
          * 1,600 is lost three times in a row.
          */
         @Test
-        void isRarelyHeldWhileServersEndFrequently() {
+        void isRarelyRejectedWhileServersEndFrequently() {
             int rejected = 0;
             int submitted = 0;
             for (int seed = 0; seed < SEEDS; seed++) {
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
@@ -20,7 +20,7 @@
 import org.masticweir.quarantine.Quarantine.Change;
 import org.masticweir.quarantine.Quarantine.ContentUpdate;
 
-/** Tests when a content is quarantined and when it is cleared. */
+/** Tests when a content is put into quarantine and when it is no longer suspected. */
 class QuarantineTest {
     private static final long MAX_QUARANTINE_MS = 3_600_000;
     private static final ContentId CONTENT = ContentId.of("content");
@@ -146,7 +146,7 @@
             assertEquals(1, quarantine.countedLosses(CONTENT).size());
         }
 
-        /** The update with an old loss arrives after the content was cleared. */
+        /** The update with an old loss arrives after the loss was withdrawn. */
         @Test
         void lateUpdateDoesNotRestoreAWithdrawnLoss() {
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
