--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineFleetTest.java
@@ -77,7 +77,7 @@
 
         /** All servers of one domain after another end. */
         @Test
-        void isNeverHeldWhileDomainsAreLostInTurn() {
+        void isNeverRejectedWhileDomainsAreLostInTurn() {
             int[] turn = {0};
             for (int seed = 0; seed < SEEDS; seed++) {
                 QuarantineFleet fleet = new QuarantineFleet(8, SERVERS, seed);
@@ -88,7 +88,7 @@
 
         /** A third of the requests have the same content, and one domain after another is lost. */
         @Test
-        void isNeverHeldThoughManyCallersSendIt() {
+        void isNeverRejectedThoughManyCallersSendIt() {
             int[] turn = {0};
             for (int seed = 0; seed < SEEDS; seed++) {
                 QuarantineFleet fleet = new QuarantineFleet(8, SERVERS, seed);
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
@@ -170,7 +170,7 @@
          * for an hour.
          */
         @Test
-        void contentIsTriedAgainAfterEachHoldWhichGrows() {
+        void quarantineEndsAndGrowsWithEachCrash() {
             loseThreeServers(0);
             long first = Quarantine.FIRST_QUARANTINE_MS;
             assertEquals(first - 1_000, quarantine.remainingQuarantineMs(CONTENT, 1_000));
@@ -189,7 +189,7 @@
         }
 
         @Test
-        void contentThatRunsWellAfterItsHoldIsCleared() {
+        void successAfterQuarantineWithdrawsLosses() {
             loseThreeServers(0);
             assertEquals(
                     Change.CLEARED,
@@ -198,14 +198,14 @@
         }
 
         @Test
-        void evidenceIsRemovedAfterTheLongestHold() {
+        void lossesAreRemovedAfterMaxQuarantine() {
             loseThreeServers(0);
             assertEquals(SendRule.ANY_SERVER, sendRule(MAX_QUARANTINE_MS));
         }
 
         /** Without this, routers would keep sending each other an old content forever. */
         @Test
-        void updateOfAnotherRouterDoesNotProlongTheHold() {
+        void updateOfAnotherRouterDoesNotProlongQuarantine() {
             loseThreeServers(0);
             long halfMs = Quarantine.FIRST_QUARANTINE_MS / 2;
             ContentUpdate same = quarantine.snapshot(halfMs).get(0);
