--- a/masticweir/src/main/java/org/masticweir/claims/ClaimAction.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimAction.java
@@ -6,7 +6,7 @@
 
 /** An action that a claim's state machine requests. */
 public sealed interface ClaimAction {
-    /** Write this row and report the outcome under the ticket of the write. */
+    /** Write this row and report the outcome with the ticket of the write. */
     record Write(ClaimWrite write) implements ClaimAction {
         public Write {
             checkNotNull(write, "write");
@@ -17,8 +17,8 @@
     record Grant(long sendBeforeMs) implements ClaimAction {}
 
     /**
-     * Another submission holds the claim: join it at its owner, or return the result stored in the
-     * row.
+     * Another submission holds the claim: join this submission at its owner, or return the result
+     * stored in the row.
      */
     record ReportAlreadyClaimed(ClaimRow row) implements ClaimAction {
         public ReportAlreadyClaimed {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimWriteRequest.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimWriteRequest.java
@@ -15,7 +15,7 @@
  * @param row encoded row of the claimant to store in the table
  */
 record ClaimWriteRequest(
-        ClaimWriteId id, String key, long expectedRevision, boolean urgent, String row)
+        ClaimWriteId id, String key, long expectedRevision, boolean isUrgent, String row)
         implements PeerMessage {
     static final int MAX_KEY_BYTES = 1_024;
     static final int MAX_ROW_BYTES = 128 * 1_024;
@@ -26,7 +26,10 @@
         checkNotNull(row, "row");
     }
 
-    /** Returns the message for {@code item}, or empty if it is too long for a message. */
+    /**
+     * Returns the message for {@code item}, or empty if the key or the row is too long for a
+     * message.
+     */
     static Optional<ClaimWriteRequest> of(BatchItem item) {
         ClaimWrite w = item.write();
         ClaimWriteRequest m =
@@ -34,7 +37,7 @@
                         ClaimWriteId.of(item),
                         w.key().key(),
                         w.expectedRevision(),
-                        w.urgent(),
+                        w.isUrgent(),
                         w.row().encode());
         return bytes(m.key) <= MAX_KEY_BYTES && fits(m.row) ? Optional.of(m) : Optional.empty();
     }
@@ -48,7 +51,8 @@
      * Returns the write that the writer queues under its own {@code number}.
      *
      * <p>A row of a later version may contain fields that this version would drop; for such a row
-     * the method throws an {@link IllegalArgumentException}, and the claimant writes it itself.
+     * the method throws an {@link IllegalArgumentException}, and the claimant writes the row
+     * itself.
      */
     BatchItem toItem(long number, long nowMs) {
         ClaimRow decoded = ClaimRow.decode(row);
@@ -56,7 +60,7 @@
         RowKey rowKey = RowKey.of(ClaimRow.TABLE, key);
         return new BatchItem(
                 number,
-                new ClaimWrite(rowKey, id.ticket(), expectedRevision, decoded, nowMs, urgent));
+                new ClaimWrite(rowKey, id.ticket(), expectedRevision, decoded, nowMs, isUrgent));
     }
 
     private static int bytes(String text) {
--- a/masticweir/src/main/java/org/masticweir/claims/PeerWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/PeerWrites.java
@@ -11,37 +11,37 @@
 import org.masticweir.time.Clock;
 
 /**
- * Queues writes of the domain's other routers together with this router's own, and responds to
- * them.
+ * Queues writes of the domain's other routers together with this router's own writes, and responds
+ * to the other routers.
  *
  * <p>A write that can't be made soon is refused at once, so that its claimant can refuse its caller
  * or write the row itself. Writes of a claimant that no longer waits are not tracked: a late write
  * fails its check. Not thread-safe: owned by the control thread.
  */
 final class PeerWrites {
-    private final ClaimBatcher batch;
+    private final ClaimBatcher batcher;
     private final Clock clock;
-    private final Map<Long, Reply> replies = new HashMap<>();
+    private final Map<Long, Reply> repliesByNumber = new HashMap<>();
     private long lastNumber;
 
-    PeerWrites(ClaimBatcher batch, Clock clock) {
-        this.batch = checkNotNull(batch, "batch");
+    PeerWrites(ClaimBatcher batcher, Clock clock) {
+        this.batcher = checkNotNull(batcher, "batcher");
         this.clock = checkNotNull(clock, "clock");
     }
 
     /** Queues the write and returns true, or responds with the reason for a refusal. */
     boolean accept(ClaimWriteRequest request, Reply reply) {
         long now = clock.nowMs();
-        if (batch.isPaused(now)) {
+        if (batcher.isPaused(now)) {
             reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.NO_TABLE, 0));
             return false;
         }
-        long aheadMs = batch.urgentQueueMs();
-        if (aheadMs > SharedWriteLimits.MAX_QUEUE_MS) {
-            reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.OVERLOADED, aheadMs));
+        long queueMs = batcher.urgentQueueMs();
+        if (queueMs > SharedWriteLimits.MAX_QUEUE_MS) {
+            reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.OVERLOADED, queueMs));
             return false;
         }
-        // Numbers of peer writes are negative so that they never equal those of own claims.
+        // Numbers of peer writes are negative and therefore never equal numbers of own claims.
         long number = lastNumber - 1;
         BatchItem item;
         try {
@@ -50,20 +50,22 @@
             reply.fail(MasticweirException.notRun(ErrorCode.INTERNAL, "claim row not readable"));
             return false;
         }
-        OptionalLong refused = batch.offer(item, now);
-        if (refused.isPresent()) {
-            long afterMs = refused.getAsLong();
+        OptionalLong retryAfterMs = batcher.offer(item, now);
+        if (retryAfterMs.isPresent()) {
+            long afterMs = retryAfterMs.getAsLong();
             reply.send(ClaimWriteResponse.refused(ClaimWriteResponse.Kind.OVERLOADED, afterMs));
             return false;
         }
         lastNumber = number;
-        replies.put(number, reply);
+        repliesByNumber.put(number, reply);
         return true;
     }
 
-    /** Forwards the outcome of a peer's write; returns false if the write is not a peer's. */
+    /**
+     * Forwards the outcome of a peer's write; returns false for one of this router's own writes.
+     */
     boolean respond(BatchEvent event) {
-        Reply reply = replies.remove(event.claim());
+        Reply reply = repliesByNumber.remove(event.claim());
         if (reply == null) {
             return false;
         }
--- a/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/Quarantine.java
@@ -20,50 +20,56 @@
  * by the traffic thread.
  *
  * <p>A request that crashes each server that begins to run it may be submitted again and again, at
- * any router and under new ids. Without a quarantine the evidence would be lost with each
- * submission, and each would crash as many servers as its route allows, with all requests that run
- * there. The quarantine keeps the evidence beyond the submission. After {@link #LIMIT} servers the
- * content is held.
+ * any router and under new ids. Without a quarantine, the recorded losses would be discarded at the
+ * end of each submission. Each submission would then crash as many servers as its route allows, and
+ * all requests that run on these servers would fail. The quarantine keeps the recorded losses after
+ * the submission ends. After {@link #CRASH_LIMIT} crashes the content is put into quarantine and
+ * rejected.
  *
- * <p>After each call that may change a content, the owner sends the result of {@link #drainUpdates}
- * to the other routers.
+ * <p>A trial is a send of a suspected content: a content with at least one counted crash. While a
+ * trial runs, other requests with the same content wait.
+ *
+ * <p>After each call that may change the state of a content, the owner sends the result of {@link
+ * #drainUpdates} to the other routers.
  */
 public final class Quarantine {
-    /** Number of crashes from which on a content is held. */
-    public static final int LIMIT = 3;
+    /** Minimum number of crashes of a content in quarantine. */
+    public static final int CRASH_LIMIT = 3;
 
     /**
-     * Number of crashes from which on a content is sent to the least loaded server. Most contents
-     * with one crash merely ran beside the request that caused it, and are served best by the
-     * normal choice of a server.
+     * Minimum number of crashes of a content that is sent to the least loaded server. Most contents
+     * with one crash ran on the same server as the request that caused the crash. The normal choice
+     * of a server is best for these contents.
      */
-    static final int LEAST_LOADED_FROM = 2;
+    static final int LEAST_LOADED_MIN_CRASHES = 2;
 
     /**
-     * Time from a run's first event within which the end of its server counts as evidence against
-     * its content, in ms. A content whose run lasts longer at one server is cleared.
+     * Duration of a trial from the first event of a run, in ms. If the server ends within this
+     * time, its loss is recorded for the content. After a longer run at one server the content is
+     * no longer suspected.
      */
     public static final long TRIAL_MS = 2_000;
 
-    /** Time for which a content is held when it reaches the limit, in ms. */
-    static final long FIRST_HOLD_MS = 60_000;
+    /** Duration of the quarantine of a content that has reached the limit, in ms. */
+    static final long FIRST_QUARANTINE_MS = 60_000;
 
-    /** Factor by which the hold grows with each further crash. */
-    private static final int HOLD_GROWTH = 8;
+    /** Factor by which the duration of the quarantine grows with each further crash. */
+    private static final int QUARANTINE_GROWTH_FACTOR = 8;
 
     /**
-     * Time after the last update from a router at which its trial no longer delays others, in ms.
+     * Time after the last update from a router at which the router's trial no longer delays
+     * requests, in ms.
      */
     static final long PEER_TRIAL_EXPIRY_MS = 10_000;
 
-    /** Time for which evidence below the limit is kept after the last loss, in ms. */
+    /** Time for which losses of a content below the limit are kept after the last loss, in ms. */
     static final long SUSPECT_EXPIRY_MS = 600_000;
 
     /** Maximum number of contents; each takes some hundred bytes. */
     static final int MAX_CONTENTS = 4_096;
 
     private final RouterId self;
-    private final long longestHoldMs;
+    private final long maxQuarantineMs;
 
     /** Ordered by the last change, oldest first. */
     private final Map<ContentId, Entry> entries = new LinkedHashMap<>();
@@ -82,8 +88,11 @@
             this.record = record;
         }
 
-        /** Returns the time of the last loss; without a loss, the time of creation. */
-        long lastEvidenceMs() {
+        /**
+         * Returns the time of the last loss, or the creation time of this entry if there is no
+         * loss.
+         */
+        long lastLossOrCreationMs() {
             return record.lastLoss().map(Loss::endedMs).orElse(createdMs);
         }
 
@@ -103,8 +112,8 @@
     /**
      * The state of one content, for other routers.
      *
-     * @param record with times relative to the time of sending, which is 0
-     * @param isOnTrial whether the sender has a request with the content on trial
+     * @param record record with times relative to the time of sending, which is 0
+     * @param isOnTrial whether a trial of the content runs at the sender
      */
     public record ContentUpdate(CrashRecord record, boolean isOnTrial) {
         public ContentUpdate {
@@ -112,25 +121,23 @@
         }
     }
 
-    private Quarantine(RouterId self, long longestHoldMs) {
+    private Quarantine(RouterId self, long maxQuarantineMs) {
         this.self = checkNotNull(self, "self");
-        this.longestHoldMs = longestHoldMs;
+        this.maxQuarantineMs = maxQuarantineMs;
     }
 
     /**
      * Returns an empty quarantine.
      *
-     * @param longestHoldMs longest time for which a content is held; evidence is removed this long
+     * @param maxQuarantineMs maximum duration of a quarantine; losses are removed at this time
      *     after the last loss
      */
-    public static Quarantine create(RouterId self, long longestHoldMs) {
-        checkArgument(longestHoldMs > 0, "hold of %s ms", longestHoldMs);
-        return new Quarantine(self, longestHoldMs);
+    public static Quarantine create(RouterId self, long maxQuarantineMs) {
+        checkArgument(maxQuarantineMs > 0, "hold of %s ms", maxQuarantineMs);
+        return new Quarantine(self, maxQuarantineMs);
     }
 
-    /**
-     * Returns whether there is no evidence against any content, so that no content id is needed.
-     */
+    /** Returns whether no loss of any content is recorded; callers then need no content id. */
     public boolean isEmpty() {
         return entries.isEmpty();
     }
@@ -142,46 +149,47 @@
             return SendRule.ANY_SERVER;
         }
         int count = entry.crashCount();
-        if (count >= LIMIT && nowMs < entry.lastEvidenceMs() + holdMs(count)) {
+        if (count >= CRASH_LIMIT && nowMs < entry.lastLossOrCreationMs() + quarantineMs(count)) {
             return SendRule.REJECT;
         }
         if (entry.inquiries > 0 || (count > 0 && isOnTrial(entry, nowMs))) {
             return SendRule.WAIT;
         }
-        return count >= LEAST_LOADED_FROM ? SendRule.LEAST_LOADED : SendRule.ANY_SERVER;
+        return count >= LEAST_LOADED_MIN_CRASHES ? SendRule.LEAST_LOADED : SendRule.ANY_SERVER;
     }
 
     /**
-     * Returns the time for which a content is held after its last crash.
+     * Returns the duration of a quarantine after the last crash.
      *
-     * <p>Each hold ends, so that a harmless content that coincided with crashes is not rejected
-     * forever. Each hold is longer than the one before.
+     * <p>Each quarantine ends, so that a harmless content that coincided with crashes is not
+     * rejected forever. Each quarantine lasts longer than the previous one, up to the maximum.
      */
-    private long holdMs(int crashes) {
-        long holdMs = FIRST_HOLD_MS;
-        for (int i = LIMIT; i < crashes && holdMs < longestHoldMs; i++) {
-            holdMs *= HOLD_GROWTH;
+    private long quarantineMs(int crashes) {
+        long durationMs = FIRST_QUARANTINE_MS;
+        for (int i = CRASH_LIMIT; i < crashes && durationMs < maxQuarantineMs; i++) {
+            durationMs *= QUARANTINE_GROWTH_FACTOR;
         }
-        return Math.min(holdMs, longestHoldMs);
+        return Math.min(durationMs, maxQuarantineMs);
     }
 
-    /** Returns the losses that count against {@code content}. */
+    /** Returns the counted losses of {@code content}. */
     public ImmutableList<Loss> countedLosses(ContentId content) {
         Entry entry = entries.get(content);
         return entry == null ? ImmutableList.of() : entry.record.countedLosses();
     }
 
-    /** Returns the time until the hold of a quarantined content ends, in ms. */
-    public long remainingHoldMs(ContentId content, long nowMs) {
+    /** Returns the time until the quarantine of {@code content} ends, in ms. */
+    public long remainingQuarantineMs(ContentId content, long nowMs) {
         Entry entry = entries.get(content);
         return entry == null
                 ? 0
-                : Math.max(0, entry.lastEvidenceMs() + holdMs(entry.crashCount()) - nowMs);
+                : Math.max(
+                        0, entry.lastLossOrCreationMs() + quarantineMs(entry.crashCount()) - nowMs);
     }
 
     /**
-     * Records that this router sends a request with {@code content}; returns whether the request is
-     * on trial, which lasts until {@link #endTrial}.
+     * Records that this router sends a request with {@code content}. Returns whether this send is a
+     * trial; the trial lasts until {@link #endTrial}.
      */
     public boolean beginTrial(ContentId content, long nowMs) {
         Entry entry = findUnexpired(content, nowMs);
@@ -194,7 +202,7 @@
         return true;
     }
 
-    /** Records the end of a send that {@link #beginTrial} put on trial. */
+    /** Records the end of a trial. */
     public void endTrial(ContentId content) {
         Entry entry = entries.get(content);
         if (entry == null || entry.ownTrials == 0) {
@@ -208,8 +216,8 @@
     }
 
     /**
-     * Records that the cause of a loss under {@code content} is being determined; requests with it
-     * wait until {@link #endInquiry}.
+     * Records that the cause of a loss under {@code content} is being determined; requests with the
+     * content wait until {@link #endInquiry}.
      */
     public void beginInquiry(ContentId content, long nowMs) {
         getOrCreate(content, nowMs).inquiries++;
@@ -220,14 +228,14 @@
         Entry entry = entries.get(content);
         if (entry != null) {
             entry.inquiries = Math.max(0, entry.inquiries - 1);
-            removeIfBlank(content, entry);
+            removeIfEmpty(content, entry);
         }
     }
 
     /** Records the end of a server that had begun to run a request with {@code content}. */
     public Change recordLoss(ContentId content, Loss loss, long nowMs) {
         Entry entry = getOrCreate(content, nowMs);
-        return setRecord(entry, entry.record.with(loss));
+        return setRecord(entry, entry.record.withLoss(loss));
     }
 
     /** Records that a request with {@code content} ran without crashing its server. */
@@ -235,10 +243,10 @@
         Entry entry = findUnexpired(content, nowMs);
         return entry == null || entry.crashCount() == 0
                 ? Change.NONE
-                : setRecord(entry, entry.record.withdrawAll());
+                : setRecord(entry, entry.record.withdrawAllLosses());
     }
 
-    /** Returns the contents against which the loss of {@code incarnation} counts. */
+    /** Returns the contents for which the loss of {@code incarnation} counts. */
     public ImmutableList<ContentId> contentsWithLossOf(ServerIncarnation incarnation) {
         return entries.values().stream()
                 .map(e -> e.record)
@@ -247,10 +255,12 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Records an answer of {@code incarnation}, whose end was counted against {@code content}. */
+    /** Records an answer of {@code incarnation}, whose loss was counted for {@code content}. */
     public Change recordAlive(ContentId content, ServerIncarnation incarnation, long nowMs) {
         Entry entry = findUnexpired(content, nowMs);
-        return entry == null ? Change.NONE : setRecord(entry, entry.record.withdraw(incarnation));
+        return entry == null
+                ? Change.NONE
+                : setRecord(entry, entry.record.withdrawLossOf(incarnation));
     }
 
     /** Applies another router's update; updates may arrive twice, late and in any order. */
@@ -262,7 +272,7 @@
             entry.trialsUntilMs.remove(peer);
         }
         Change change = merge(entry, update.record().shifted(nowMs));
-        removeIfBlank(update.record().content(), entry);
+        removeIfEmpty(update.record().content(), entry);
         return change;
     }
 
@@ -271,7 +281,7 @@
         return merge(getOrCreate(record.content(), nowMs), record);
     }
 
-    /** Removes the trials of a router that is lost. */
+    /** Removes the trials of a lost router. */
     public void removeTrialsOf(RouterId peer) {
         entries.values().forEach(e -> e.trialsUntilMs.remove(peer));
     }
@@ -288,19 +298,19 @@
 
     /** Returns and clears the changes that this router made since the last call. */
     public ImmutableList<ContentUpdate> drainUpdates(long nowMs) {
-        ImmutableList<ContentUpdate> taken =
+        ImmutableList<ContentUpdate> updates =
                 pendingUpdates.stream()
                         .filter(entries::containsKey)
                         .map(c -> updateOf(entries.get(c), nowMs))
                         .collect(ImmutableList.toImmutableList());
         pendingUpdates.clear();
-        return taken;
+        return updates;
     }
 
     /** Returns all records, for a router that has just been linked. */
     public ImmutableList<ContentUpdate> snapshot(long nowMs) {
         return entries.values().stream()
-                .filter(e -> !e.record.isBlank())
+                .filter(e -> !e.record.isEmpty())
                 .map(e -> updateOf(e, nowMs))
                 .collect(ImmutableList.toImmutableList());
     }
@@ -309,7 +319,10 @@
         return new ContentUpdate(entry.record.shifted(-nowMs), entry.ownTrials > 0);
     }
 
-    /** Merges without forwarding changes of other routers; this router's own remain to be sent. */
+    /**
+     * Merges a record of another router and does not forward its changes. This router's own changes
+     * remain to be sent.
+     */
     private Change merge(Entry entry, CrashRecord record) {
         boolean hasOwnUpdate = pendingUpdates.contains(record.content());
         Change change = setRecord(entry, entry.record.merge(record));
@@ -320,7 +333,7 @@
     }
 
     private Change setRecord(Entry entry, CrashRecord record) {
-        int before = entry.crashCount();
+        int previousCount = entry.crashCount();
         if (record.equals(entry.record)) {
             return Change.NONE;
         }
@@ -328,11 +341,11 @@
         entries.remove(record.content());
         entries.put(record.content(), entry);
         pendingUpdates.add(record.content());
-        int after = entry.crashCount();
-        if (after > before) {
-            return after >= LIMIT ? Change.QUARANTINED : Change.SUSPECTED;
+        int newCount = entry.crashCount();
+        if (newCount > previousCount) {
+            return newCount >= CRASH_LIMIT ? Change.QUARANTINED : Change.SUSPECTED;
         }
-        return after == 0 && before > 0 ? Change.CLEARED : Change.NONE;
+        return newCount == 0 && previousCount > 0 ? Change.CLEARED : Change.NONE;
     }
 
     private Entry getOrCreate(ContentId content, long nowMs) {
@@ -357,14 +370,15 @@
     }
 
     private boolean isExpired(Entry entry, long nowMs) {
-        boolean isQuarantined = entry.crashCount() >= LIMIT;
-        long keptMs = isQuarantined ? longestHoldMs : Math.min(longestHoldMs, SUSPECT_EXPIRY_MS);
-        return entry.inquiries == 0 && nowMs - entry.lastEvidenceMs() >= keptMs;
+        boolean isQuarantined = entry.crashCount() >= CRASH_LIMIT;
+        long retentionMs =
+                isQuarantined ? maxQuarantineMs : Math.min(maxQuarantineMs, SUSPECT_EXPIRY_MS);
+        return entry.inquiries == 0 && nowMs - entry.lastLossOrCreationMs() >= retentionMs;
     }
 
     /**
-     * Removes expired contents, then the oldest ones below the limit, then the oldest in
-     * quarantine. Each crash costs a server, so quarantined contents are the most expensive to
+     * Removes expired contents, then the oldest contents below the limit, then the oldest contents
+     * in quarantine. Each crash costs a server, so quarantined contents are the most expensive to
      * detect again.
      */
     private void evictIfFull(long nowMs) {
@@ -379,14 +393,14 @@
     private void evictOldest(boolean quarantined) {
         Iterator<Entry> oldest = entries.values().iterator();
         while (entries.size() >= MAX_CONTENTS && oldest.hasNext()) {
-            if (oldest.next().crashCount() >= LIMIT == quarantined) {
+            if (oldest.next().crashCount() >= CRASH_LIMIT == quarantined) {
                 oldest.remove();
             }
         }
     }
 
-    private void removeIfBlank(ContentId content, Entry entry) {
-        if (entry.record.isBlank() && entry.inquiries == 0) {
+    private void removeIfEmpty(ContentId content, Entry entry) {
+        if (entry.record.isEmpty() && entry.inquiries == 0) {
             entries.remove(content);
         }
     }
--- a/masticweir/src/main/java/org/masticweir/quarantine/SharedQuarantine.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/SharedQuarantine.java
@@ -38,9 +38,9 @@
     private final ScheduledExecutorService control;
     private final Consumer<CrashUpdate> broadcast;
     private final Consumer<CrashRecord> save;
-    private final Counter suspected;
-    private final Counter quarantined;
-    private final Counter cleared;
+    private final Counter suspectedCounter;
+    private final Counter quarantinedCounter;
+    private final Counter clearedCounter;
     private volatile BiConsumer<ContentId, Change> listener = (content, change) -> {};
     private volatile boolean isEmpty = true;
     private boolean isBatchScheduled;
@@ -49,7 +49,7 @@
      * Creates the quarantine of one router.
      *
      * @param broadcast sends an update to all other routers; called on the control thread
-     * @param save saves a record where it outlives the routers; called on any thread
+     * @param save saves a record in durable storage; called on any thread
      */
     public SharedQuarantine(
             Quarantine quarantine,
@@ -63,23 +63,24 @@
         this.control = checkNotNull(control, "control");
         this.broadcast = checkNotNull(broadcast, "broadcast");
         this.save = checkNotNull(save, "save");
-        suspected = metrics.counter(MetricName.of("contents_suspected_total"));
-        quarantined = metrics.counter(MetricName.of("contents_quarantined_total"));
-        cleared = metrics.counter(MetricName.of("contents_cleared_total"));
+        suspectedCounter = metrics.counter(MetricName.of("contents_suspected_total"));
+        quarantinedCounter = metrics.counter(MetricName.of("contents_quarantined_total"));
+        clearedCounter = metrics.counter(MetricName.of("contents_cleared_total"));
     }
 
     /**
-     * Sets the listener that is called when a content becomes suspect or is put into quarantine. It
+     * Sets the listener for contents that become suspected or are put into quarantine. The listener
      * is called on the thread that made the change, outside of any lock.
      */
-    public void onChange(BiConsumer<ContentId, Change> next) {
-        listener = checkNotNull(next, "next");
+    public void onChange(BiConsumer<ContentId, Change> newListener) {
+        listener = checkNotNull(newListener, "newListener");
     }
 
     /**
      * Returns whether and where a request may be sent now.
      *
-     * @param content called only while there is evidence against any content
+     * @param content supplier of the content id; called only while losses of any content are
+     *     recorded
      */
     public SendRule sendRule(Supplier<ContentId> content, long nowMs) {
         if (isEmpty) {
@@ -91,25 +92,27 @@
         }
     }
 
-    /** Returns the time until the hold of a quarantined content ends, in ms. */
-    public synchronized long remainingHoldMs(ContentId content, long nowMs) {
-        return quarantine.remainingHoldMs(content, nowMs);
+    /** Returns the time until the quarantine of {@code content} ends, in ms. */
+    public synchronized long remainingQuarantineMs(ContentId content, long nowMs) {
+        return quarantine.remainingQuarantineMs(content, nowMs);
     }
 
-    /** Records a send; returns whether it is on trial, which lasts until {@link #endTrial}. */
+    /**
+     * Records a send. Returns whether the send is a trial; the trial lasts until {@link #endTrial}.
+     */
     public boolean beginTrial(Supplier<ContentId> content) {
         if (isEmpty) {
             return false;
         }
         ContentId id = content.get();
         synchronized (this) {
-            boolean onTrial = quarantine.beginTrial(id, clock.nowMs());
+            boolean isOnTrial = quarantine.beginTrial(id, clock.nowMs());
             scheduleBatch();
-            return onTrial;
+            return isOnTrial;
         }
     }
 
-    /** Records the end of a send that was on trial. */
+    /** Records the end of a trial. */
     public synchronized void endTrial(ContentId content) {
         quarantine.endTrial(content);
         scheduleBatch();
@@ -146,7 +149,7 @@
         }
     }
 
-    /** Records an answer of an incarnation whose end was counted. */
+    /** Records an answer of an incarnation whose loss was counted. */
     public void recordAlive(ServerIncarnation incarnation) {
         List<ContentId> contents;
         synchronized (this) {
@@ -192,7 +195,7 @@
         notifyListener(record.content(), change);
     }
 
-    /** Removes the trials of a router that is lost. */
+    /** Removes the trials of a lost router. */
     public synchronized void removeTrialsOf(RouterId peer) {
         quarantine.removeTrialsOf(peer);
     }
@@ -232,7 +235,10 @@
         return quarantine.record(content);
     }
 
-    /** Batches the changes of some milliseconds: a server that ends may affect several contents. */
+    /**
+     * Sends the changes of some milliseconds together, since the end of one server may affect
+     * several contents.
+     */
     private void scheduleBatch() {
         if (isBatchScheduled || !quarantine.hasUpdates()) {
             return;
@@ -254,22 +260,25 @@
 
     private void log(ContentId content, Change change, String cause) {
         if (change == Change.SUSPECTED) {
-            suspected.inc();
-            LOG.info("quarantine: content {} is suspect, {}", content, evidence(content, cause));
+            suspectedCounter.inc();
+            LOG.info(
+                    "quarantine: content {} is suspect, {}",
+                    content,
+                    describeLosses(content, cause));
         } else if (change == Change.QUARANTINED) {
-            quarantined.inc();
+            quarantinedCounter.inc();
             LOG.warn(
                     "quarantine: content {} is not sent for {} ms, {}",
                     content,
-                    remainingHoldMs(content, clock.nowMs()),
-                    evidence(content, cause));
+                    remainingQuarantineMs(content, clock.nowMs()),
+                    describeLosses(content, cause));
         } else if (change == Change.CLEARED) {
-            cleared.inc();
+            clearedCounter.inc();
             LOG.info("quarantine: content {} is cleared, {}", content, cause);
         }
     }
 
-    private String evidence(ContentId content, String cause) {
+    private String describeLosses(ContentId content, String cause) {
         return record(content)
                 .map(r -> cause + "; " + r.crashCount() + " ends counted of " + r.countedLosses())
                 .orElse(cause);
