--- a/masticweir/src/main/java/org/masticweir/relay/CatalogReplies.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CatalogReplies.java
@@ -20,34 +20,34 @@
 final class CatalogReplies {
     private static final long NO_VERSION = 0;
 
-    private final RecentTexts recent = new RecentTexts();
+    private final RecentTexts recentTexts = new RecentTexts();
     private final Map<Long, PackedEdit> packedEdits = new HashMap<>();
-    private Optional<CatalogText> latest = Optional.empty();
+    private Optional<CatalogText> latestText = Optional.empty();
 
     /** Adds the catalog in force; does nothing unless it is newer than the latest. */
     void add(CatalogText text) {
-        if (latest.filter(l -> l.version() >= text.version()).isPresent()) {
+        if (latestText.filter(l -> l.version() >= text.version()).isPresent()) {
             return;
         }
-        latest = Optional.of(text);
-        recent.add(text.version(), text.text());
+        latestText = Optional.of(text);
+        recentTexts.add(text.version(), text.text());
         packedEdits.clear();
     }
 
     /** Returns the reply to a request. */
     CatalogReply replyTo(CatalogRequest request) {
-        Optional<CatalogText> newer = latest.filter(l -> l.version() > request.newerThan());
+        Optional<CatalogText> newer = latestText.filter(l -> l.version() > request.newerThan());
         if (newer.isEmpty()) {
-            return CatalogReply.nothing();
+            return CatalogReply.empty();
         }
-        if (!request.takesEdits()) {
-            return CatalogReply.whole(newer.get().text());
+        if (!request.acceptsEdits()) {
+            return CatalogReply.fullText(newer.get().text());
         }
         return CatalogReply.edit(packedEditFor(request.newerThan(), newer.get()));
     }
 
     private PackedEdit packedEditFor(long heldVersion, CatalogText newest) {
-        Optional<DocumentEdit> edit = recent.editOf(heldVersion);
+        Optional<DocumentEdit> edit = recentTexts.editOf(heldVersion);
         return packedEdits.computeIfAbsent(
                 edit.isPresent() ? heldVersion : NO_VERSION,
                 v -> PackedEdit.of(edit.orElseGet(() -> DocumentEdit.whole(newest.text()))));
--- a/masticweir/src/main/java/org/masticweir/relay/CatalogSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CatalogSharing.java
@@ -31,17 +31,17 @@
     private static final long NO_VERSION = 0;
 
     /** Time for which a reported version may be missing before a warning is logged, in ms. */
-    private static final long LATE_AFTER_MS = 2_000;
+    private static final long LATE_THRESHOLD_MS = 2_000;
 
     private static final long WINDOW_MS = 60_000;
 
     private final DeploymentState deployment;
     private final HedgedPeerRequest requests;
-    private final CatalogReplies texts = new CatalogReplies();
+    private final CatalogReplies catalogReplies = new CatalogReplies();
     private final Counter repliesSent;
     private final Counter bytesSent;
-    private final Counter unanswered;
-    private final Histogram awaitedMs;
+    private final Counter unansweredRequests;
+    private final Histogram waitTimesMs;
     private Consumer<RouterId> onNewerVersion = peer -> {};
     private boolean needsFullText;
 
@@ -63,8 +63,8 @@
         requests = new HedgedPeerRequest(links, control, clock);
         repliesSent = metrics.counter(MetricName.of("catalog_offers_total"));
         bytesSent = metrics.counter(MetricName.of("catalog_offered_bytes_total"));
-        unanswered = metrics.counter(MetricName.of("catalog_asks_unanswered_total"));
-        awaitedMs =
+        unansweredRequests = metrics.counter(MetricName.of("catalog_asks_unanswered_total"));
+        waitTimesMs =
                 metrics.histogram(
                         MetricName.of("catalog_awaited_ms"),
                         () -> new Histogram(WindowedReservoir.of(clock, WINDOW_MS)));
@@ -79,7 +79,7 @@
 
     /** Stores the catalog that has come into force, to answer requests of peers. */
     void recordCatalog() {
-        deployment.catalogText().ifPresent(texts::add);
+        deployment.catalogText().ifPresent(catalogReplies::add);
     }
 
     /**
@@ -87,7 +87,7 @@
      * force.
      */
     void handleVersion(RouterId peer, long version) {
-        deployment.recordVersion(version);
+        deployment.recordReportedVersion(version);
         if (version > Math.max(deployment.catalogVersion(), rejectedVersion)) {
             long heldVersion = needsFullText ? NO_VERSION : deployment.catalogVersion();
             String base = currentText();
@@ -101,7 +101,7 @@
     private void handleReply(
             RouterId peer, long version, String base, Optional<PeerMessage> reply) {
         if (reply.isEmpty()) {
-            unanswered.inc();
+            unansweredRequests.inc();
             LOG.info("config: {} did not give its newer version", peer);
             return;
         }
@@ -111,8 +111,8 @@
         if (text.isEmpty()) {
             return;
         }
-        if (deployment.catalogText(text.get(), peer.value())) {
-            awaitedMs.update(waitedMs);
+        if (deployment.applyCatalogText(text.get(), peer.value())) {
+            waitTimesMs.update(waitedMs);
             recordCatalog();
             onNewerVersion.accept(peer);
             handleVersion(peer, deployment.awaitedVersion());
@@ -151,7 +151,7 @@
     /** Logs a warning once for each version that is late. */
     void tick() {
         long version = deployment.awaitedVersion();
-        if (deployment.catalogAwaitedMs() < LATE_AFTER_MS || version == loggedLateVersion) {
+        if (deployment.catalogAwaitedMs() < LATE_THRESHOLD_MS || version == loggedLateVersion) {
             return;
         }
         loggedLateVersion = version;
@@ -160,12 +160,12 @@
                 version,
                 deployment.catalogAwaitedMs(),
                 deployment.catalogVersion(),
-                unanswered.getCount());
+                unansweredRequests.getCount());
     }
 
     /** Replies with the catalog if it is newer than the version that the peer holds. */
     void handleRequest(CatalogRequest request, Reply reply) {
-        CatalogReply catalog = texts.replyTo(request);
+        CatalogReply catalog = catalogReplies.replyTo(request);
         repliesSent.inc();
         bytesSent.inc(catalog.length());
         reply.send(catalog);
--- a/masticweir/src/main/java/org/masticweir/relay/DeploymentState.java
+++ b/masticweir/src/main/java/org/masticweir/relay/DeploymentState.java
@@ -36,20 +36,20 @@
      * store's long polls, and shorter than the time that a change may take to reach a router
      * without a connection to the store.
      */
-    static final long FRESH_MS = 6_000;
+    static final long CATALOG_FRESHNESS_MS = 6_000;
 
     private final DeploymentFormat format;
     private final Clock clock;
     private final UnreadableRows unreadableRows;
-    private final ServerBook book = ServerBook.create();
-    private final Consumer<RelayView> publish;
+    private final ServerBook serverBook = ServerBook.create();
+    private final Consumer<RelayView> viewListener;
     private Optional<CatalogText> catalogText = Optional.empty();
     private Optional<Catalog> catalog = Optional.empty();
     private long lastConfirmedMs = Long.MIN_VALUE / 2;
-    private final AwaitedCatalog awaited = new AwaitedCatalog();
-    private final UpdateProgress progress = new UpdateProgress();
+    private final AwaitedCatalog awaitedCatalog = new AwaitedCatalog();
+    private final UpdateProgress updateProgress = new UpdateProgress();
     private long removalsPendingUntilMs = Long.MIN_VALUE / 2;
-    private boolean wasFresh;
+    private boolean wasCatalogFresh;
 
     /**
      * Result of applying updates from a peer.
@@ -65,12 +65,12 @@
     DeploymentState(
             DeploymentFormat format,
             Clock clock,
-            UnreadableRows unreadable,
-            Consumer<RelayView> publish) {
+            UnreadableRows unreadableRows,
+            Consumer<RelayView> viewListener) {
         this.format = checkNotNull(format, "format");
         this.clock = checkNotNull(clock, "clock");
-        this.unreadableRows = checkNotNull(unreadable, "unreadable");
-        this.publish = checkNotNull(publish, "publish");
+        this.unreadableRows = checkNotNull(unreadableRows, "unreadableRows");
+        this.viewListener = checkNotNull(viewListener, "viewListener");
     }
 
     /** Applies rows of the catalog's table; returns whether a newer version came into force. */
@@ -79,7 +79,7 @@
         boolean newer = false;
         for (FeedOutcome.Change change : rows.changes()) {
             if (change.key().equals(format.catalogRow()) && !change.removed()) {
-                newer |= catalogText(change.value().orElse(""), "store");
+                newer |= applyCatalogText(change.value().orElse(""), "store");
             }
         }
         publishIfFreshnessChanged();
@@ -91,7 +91,7 @@
      *
      * @param source sender of the text, for the log
      */
-    boolean catalogText(String text, String source) {
+    boolean applyCatalogText(String text, String source) {
         Catalog parsed;
         try {
             parsed = format.catalog(text);
@@ -107,7 +107,7 @@
                 parsed.version(),
                 source,
                 catalogVersion(),
-                awaited.waitedMs(catalogVersion(), clock.nowMs()),
+                awaitedCatalog.waitedMs(catalogVersion(), clock.nowMs()),
                 text.length());
         catalog = Optional.of(parsed);
         catalogText = Optional.of(new CatalogText(parsed.version(), text));
@@ -116,8 +116,8 @@
     }
 
     /** Records that a peer holds {@code version} of the catalog. */
-    void recordVersion(long version) {
-        awaited.recordReport(version, clock.nowMs());
+    void recordReportedVersion(long version) {
+        awaitedCatalog.recordReport(version, clock.nowMs());
         publishIfFreshnessChanged();
     }
 
@@ -126,12 +126,12 @@
      * awaited.
      */
     long catalogAwaitedMs() {
-        return awaited.waitedMs(catalogVersion(), clock.nowMs());
+        return awaitedCatalog.waitedMs(catalogVersion(), clock.nowMs());
     }
 
     /** Returns the newest version of the catalog reported by peers; 0 if none. */
     long awaitedVersion() {
-        return awaited.version();
+        return awaitedCatalog.version();
     }
 
     /** Returns the version of the catalog that is in force; 0 before the first. */
@@ -158,7 +158,7 @@
         removalsPendingUntilMs = Math.max(removalsPendingUntilMs, removalDueMs);
         List<EngineId> listed = new ArrayList<>();
         boolean changed = false;
-        long newest = UpdateProgress.START;
+        long newest = UpdateProgress.BEFORE_FIRST_UPDATE;
         for (FeedOutcome.Change change : rows.changes()) {
             newest = Math.max(newest, change.revision());
             Optional<EngineId> id = idOf(change);
@@ -166,31 +166,31 @@
                 continue;
             }
             if (change.removed()) {
-                remove(id.get(), change.revision(), removalDueMs, updates);
+                removeServer(id.get(), change.revision(), removalDueMs, updates);
                 continue;
             }
             Optional<BackendServer> server = parseServer(id.get(), change);
             if (server.isPresent()) {
                 listed.add(id.get());
-                put(server.get(), change.revision(), updates);
+                putServer(server.get(), change.revision(), updates);
             } else {
                 // The row replaces the earlier entry. A running server soon writes its entry again.
-                remove(id.get(), change.revision(), now, updates);
+                removeServer(id.get(), change.revision(), now, updates);
             }
         }
         if (since.isEmpty()) {
-            changed = book.retain(listed, rows.revision(), now, removalDueMs);
+            changed = serverBook.retain(listed, rows.revision(), now, removalDueMs);
             newest = rows.revision();
         }
-        long before = progress.newest();
-        progress.recordReading(rows.revision(), newest);
+        long previousNewest = updateProgress.newestUpdate();
+        updateProgress.recordReading(rows.revision(), newest);
         logUpdates(updates, "store");
         if (changed || !updates.isEmpty()) {
             publishView();
         }
         return since.isEmpty() || updates.isEmpty()
                 ? Optional.empty()
-                : Optional.of(updatesAfter(before));
+                : Optional.of(updatesAfter(previousNewest));
     }
 
     /** Applies updates from a peer. */
@@ -199,21 +199,22 @@
         long dueMs = clock.nowMs() + message.removalDelayMs();
         removalsPendingUntilMs = Math.max(removalsPendingUntilMs, dueMs);
         List<EngineId> listed = new ArrayList<>();
-        long newest = message.after();
+        long newest = message.afterRevision();
         boolean changed = false;
         for (ServerUpdate update : message.updates()) {
             newest = Math.max(newest, update.revision());
             if (update.server().isPresent()) {
                 listed.add(update.id());
-                put(update.server().get(), update.revision(), updates);
+                putServer(update.server().get(), update.revision(), updates);
             } else {
-                remove(update.id(), update.revision(), dueMs, updates);
+                removeServer(update.id(), update.revision(), dueMs, updates);
             }
         }
         if (message.isFullList()) {
-            changed = book.retain(listed, message.completeTo(), clock.nowMs(), dueMs);
+            changed = serverBook.retain(listed, message.completeTo(), clock.nowMs(), dueMs);
         }
-        boolean complete = progress.recordUpdates(message.after(), message.completeTo(), newest);
+        boolean complete =
+                updateProgress.recordUpdates(message.afterRevision(), message.completeTo(), newest);
         logUpdates(updates, peer);
         if (changed || !updates.isEmpty()) {
             publishView();
@@ -226,17 +227,17 @@
      * returns whether this router has all updates up to there.
      */
     boolean recordPeerProgress(long newest, long completeTo) {
-        return progress.recordUpdates(newest, completeTo, UpdateProgress.START);
+        return updateProgress.recordUpdates(newest, completeTo, UpdateProgress.BEFORE_FIRST_UPDATE);
     }
 
     /** Returns the revision of the newest server update. */
     long newestUpdate() {
-        return progress.newest();
+        return updateProgress.newestUpdate();
     }
 
     /** Returns the revision up to which all server updates have been received. */
     long completeTo() {
-        return progress.completeTo();
+        return updateProgress.completeTo();
     }
 
     /**
@@ -245,36 +246,37 @@
      */
     ServerUpdates updatesAfter(long revision) {
         long delayMs = Math.max(0, removalsPendingUntilMs - clock.nowMs());
-        Optional<ImmutableList<ServerUpdate>> after =
-                revision == UpdateProgress.START
+        Optional<ImmutableList<ServerUpdate>> storedUpdates =
+                revision == UpdateProgress.BEFORE_FIRST_UPDATE
                         ? Optional.empty()
-                        : book.wordsAfter(revision).map(DeploymentState::toUpdates);
-        return after.map(u -> new ServerUpdates(revision, progress.completeTo(), delayMs, u))
+                        : serverBook.wordsAfter(revision).map(DeploymentState::toUpdates);
+        return storedUpdates
+                .map(u -> new ServerUpdates(revision, updateProgress.completeTo(), delayMs, u))
                 .orElseGet(
                         () ->
                                 new ServerUpdates(
-                                        UpdateProgress.START,
-                                        progress.completeTo(),
+                                        UpdateProgress.BEFORE_FIRST_UPDATE,
+                                        updateProgress.completeTo(),
                                         delayMs,
                                         presentServers()));
     }
 
     /** Returns the updates that the sender of {@code request} has not received. */
     ServerUpdates replyTo(ServersRequest request) {
-        ServerUpdates after = updatesAfter(request.completeTo());
-        if (after.isFullList() && request.digest() == book.digest()) {
+        ServerUpdates newerUpdates = updatesAfter(request.completeTo());
+        if (newerUpdates.isFullList() && request.digest() == serverBook.digest()) {
             return new ServerUpdates(
                     request.completeTo(),
-                    after.completeTo(),
-                    after.removalDelayMs(),
+                    newerUpdates.completeTo(),
+                    newerUpdates.removalDelayMs(),
                     ImmutableList.of());
         }
-        return after;
+        return newerUpdates;
     }
 
     /** Returns a request for the updates that are missing here. */
     ServersRequest updatesRequest() {
-        return new ServersRequest(progress.completeTo(), book.digest());
+        return new ServersRequest(updateProgress.completeTo(), serverBook.digest());
     }
 
     private static ImmutableList<ServerUpdate> toUpdates(List<ServerBook.Word> words) {
@@ -285,7 +287,7 @@
 
     /** Applies removals that are due. */
     void tick() {
-        if (book.tick(clock.nowMs())) {
+        if (serverBook.tick(clock.nowMs())) {
             LOG.info("instances: pending removals applied, {} servers left", serverCount());
             publishView();
         }
@@ -302,7 +304,7 @@
      */
     private List<ServerUpdate> presentServers() {
         List<ServerUpdate> all = new ArrayList<>();
-        for (ServerBook.Word word : book.words()) {
+        for (ServerBook.Word word : serverBook.words()) {
             word.server().ifPresent(s -> all.add(ServerUpdate.present(s, word.revision())));
         }
         return all;
@@ -310,15 +312,15 @@
 
     /** Returns whether a catalog and at least one server have been received. */
     boolean isReady() {
-        return catalog.isPresent() && !book.servers().isEmpty();
+        return catalog.isPresent() && !serverBook.servers().isEmpty();
     }
 
     int serverCount() {
-        return book.servers().size();
+        return serverBook.servers().size();
     }
 
-    private void put(BackendServer server, long revision, List<ServerUpdate> updates) {
-        if (book.put(server, revision)) {
+    private void putServer(BackendServer server, long revision, List<ServerUpdate> updates) {
+        if (serverBook.put(server, revision)) {
             updates.add(ServerUpdate.present(server, revision));
         }
     }
@@ -327,8 +329,8 @@
      * A removal that is not due yet is not sent as an update. Peers that request updates receive it
      * with its delay.
      */
-    private void remove(EngineId id, long revision, long dueMs, List<ServerUpdate> updates) {
-        if (book.remove(id, revision, clock.nowMs(), dueMs)) {
+    private void removeServer(EngineId id, long revision, long dueMs, List<ServerUpdate> updates) {
+        if (serverBook.remove(id, revision, clock.nowMs(), dueMs)) {
             updates.add(ServerUpdate.removed(id, revision));
         }
     }
@@ -354,7 +356,7 @@
             checkArgument(change.value().isPresent(), "the row has no text");
             BackendServer server = format.server(id, change.value().get());
             boolean hadStartTime =
-                    book.lifeOf(id).filter(ServerIncarnation::isStartKnown).isPresent();
+                    serverBook.lifeOf(id).filter(ServerIncarnation::isStartKnown).isPresent();
             checkArgument(
                     server.incarnation().isStartKnown() || !hadStartTime,
                     "no start time, but an earlier entry had one");
@@ -379,18 +381,18 @@
     /** The catalog is not fresh while a newer version is known: rejections could be wrong. */
     private boolean isCatalogFresh() {
         long now = clock.nowMs();
-        return now - lastConfirmedMs <= FRESH_MS
-                && !awaited.isAwaited(catalogVersion(), now, FRESH_MS);
+        return now - lastConfirmedMs <= CATALOG_FRESHNESS_MS
+                && !awaitedCatalog.isAwaited(catalogVersion(), now, CATALOG_FRESHNESS_MS);
     }
 
     private void publishIfFreshnessChanged() {
-        if (isCatalogFresh() != wasFresh) {
+        if (isCatalogFresh() != wasCatalogFresh) {
             publishView();
         }
     }
 
     private void publishView() {
-        wasFresh = isCatalogFresh();
-        publish.accept(RelayView.of(catalog, book.servers(), wasFresh));
+        wasCatalogFresh = isCatalogFresh();
+        viewListener.accept(RelayView.of(catalog, serverBook.servers(), wasCatalogFresh));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/KnownRouters.java
+++ b/masticweir/src/main/java/org/masticweir/relay/KnownRouters.java
@@ -40,7 +40,7 @@
     private record Groups(
             ImmutableSet<RouterId> ownDomain,
             ImmutableSet<RouterId> storeRecipients,
-            ImmutableList<RouterId> otherRemotes) {}
+            ImmutableList<RouterId> remoteRouters) {}
 
     KnownRouters(RouterInfo self) {
         this.self = checkNotNull(self, "self");
@@ -57,8 +57,8 @@
     }
 
     boolean isInOwnDomain(RouterId router) {
-        RouterInfo at = routers.get(router);
-        return at != null && at.domain().equals(self.domain());
+        RouterInfo info = routers.get(router);
+        return info != null && info.domain().equals(self.domain());
     }
 
     /** Returns the other routers of the own domain. */
@@ -78,11 +78,11 @@
     ImmutableSet<RouterId> pollTargets(long round) {
         ImmutableSet.Builder<RouterId> targets = ImmutableSet.builder();
         targets.addAll(storeRecipients());
-        ImmutableList<RouterId> remotes = groups().otherRemotes();
+        ImmutableList<RouterId> remoteRouters = groups().remoteRouters();
         for (int i = (int) (round % REMOTE_POLL_ROUNDS);
-                i < remotes.size();
+                i < remoteRouters.size();
                 i += REMOTE_POLL_ROUNDS) {
-            targets.add(remotes.get(i));
+            targets.add(remoteRouters.get(i));
         }
         return targets.build();
     }
@@ -111,12 +111,12 @@
                                         Rendezvous.first(
                                                 ReadingShare.DUTY, ids, GATEWAYS_PER_DOMAIN)));
         ImmutableSet<RouterId> storeRecipients = recipients.build();
-        ImmutableList<RouterId> otherRemotes =
+        ImmutableList<RouterId> remoteRouters =
                 byDomain.values().stream()
                         .flatMap(List::stream)
                         .filter(id -> !storeRecipients.contains(id))
                         .sorted(Comparator.comparing(RouterId::value))
                         .collect(ImmutableList.toImmutableList());
-        return new Groups(ImmutableSet.copyOf(ownDomain), storeRecipients, otherRemotes);
+        return new Groups(ImmutableSet.copyOf(ownDomain), storeRecipients, remoteRouters);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/LoadSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LoadSharing.java
@@ -39,56 +39,56 @@
     private final XnioIoThread thread;
     private final LoadTracker loads;
     private final ServerHealth health;
-    private final Function<ServerIncarnation, Optional<BackendServer>> servers;
+    private final Function<ServerIncarnation, Optional<BackendServer>> serverLookup;
     private final Clock clock;
-    private final Supplier<? extends Iterable<RouterId>> peers;
-    private final BiConsumer<RouterId, PeerMessage> send;
-    private boolean reportScheduled;
+    private final Supplier<? extends Iterable<RouterId>> peerIds;
+    private final BiConsumer<RouterId, PeerMessage> sender;
+    private boolean isReportScheduled;
 
     /**
      * Creates an instance that sends nothing until something changes.
      *
-     * @param servers returns a listed server
-     * @param peers readable on the traffic thread
-     * @param send may be called from the traffic thread
+     * @param serverLookup returns a listed server
+     * @param peerIds readable on the traffic thread
+     * @param sender may be called from the traffic thread
      */
     LoadSharing(
             XnioIoThread thread,
             LoadTracker loads,
             ServerHealth health,
-            Function<ServerIncarnation, Optional<BackendServer>> servers,
+            Function<ServerIncarnation, Optional<BackendServer>> serverLookup,
             Clock clock,
-            Supplier<? extends Iterable<RouterId>> peers,
-            BiConsumer<RouterId, PeerMessage> send) {
+            Supplier<? extends Iterable<RouterId>> peerIds,
+            BiConsumer<RouterId, PeerMessage> sender) {
         this.thread = checkNotNull(thread, "thread");
         this.loads = checkNotNull(loads, "loads");
         this.health = checkNotNull(health, "health");
-        this.servers = checkNotNull(servers, "servers");
+        this.serverLookup = checkNotNull(serverLookup, "serverLookup");
         this.clock = checkNotNull(clock, "clock");
-        this.peers = checkNotNull(peers, "peers");
-        this.send = checkNotNull(send, "send");
+        this.peerIds = checkNotNull(peerIds, "peerIds");
+        this.sender = checkNotNull(sender, "sender");
     }
 
     /** Schedules a report after the load of an engine or the health of a server has changed. */
     void scheduleReport() {
-        if (!reportScheduled) {
-            reportScheduled = true;
+        if (!isReportScheduled) {
+            isReportScheduled = true;
             thread.executeAfter(this::sendReports, BATCH_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void sendReports() {
-        reportScheduled = false;
+        isReportScheduled = false;
         Set<ServerIncarnation> changed = loads.drainChanged();
         if (!changed.isEmpty()) {
             LoadUpdate update = loadUpdate(changed);
-            peers.get().forEach(p -> send.accept(p, update));
+            peerIds.get().forEach(p -> sender.accept(p, update));
         }
         health.drainFailureReports()
                 .forEach(
                         (server, gone) -> {
                             FailureUpdate update = new FailureUpdate(server, gone);
-                            peers.get().forEach(p -> send.accept(p, update));
+                            peerIds.get().forEach(p -> sender.accept(p, update));
                         });
     }
 
@@ -96,7 +96,8 @@
     public void handleFailure(ServerIncarnation server, boolean gone) {
         thread.execute(
                 () ->
-                        servers.apply(server)
+                        serverLookup
+                                .apply(server)
                                 .ifPresent(s -> health.recordPeerReport(s, gone, clock.nowMs())));
     }
 
@@ -107,17 +108,17 @@
     }
 
     @Override
-    public void peerLost(RouterId peer) {
+    public void onPeerLost(RouterId peer) {
         thread.execute(() -> loads.forgetPeer(peer));
     }
 
     @Override
-    public void sendAll(RouterId peer) {
+    public void sendLoads(RouterId peer) {
         thread.execute(
                 () -> {
                     Set<ServerIncarnation> used = loads.loadedEngines();
                     if (!used.isEmpty()) {
-                        send.accept(peer, loadUpdate(used));
+                        sender.accept(peer, loadUpdate(used));
                     }
                 });
     }
--- a/masticweir/src/main/java/org/masticweir/relay/PeerDirectory.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PeerDirectory.java
@@ -47,7 +47,7 @@
     private final PlatformPort.Store store;
     private final RouterInfo self;
     private final ScheduledExecutorService control;
-    private final List<RouterId> known = new CopyOnWriteArrayList<>();
+    private final List<RouterId> knownRouters = new CopyOnWriteArrayList<>();
 
     PeerDirectory(PlatformPort.Store store, RouterInfo self, ScheduledExecutorService control) {
         this.store = checkNotNull(store, "store");
@@ -74,14 +74,14 @@
 
     /** Adds a router. */
     void add(RouterId id) {
-        if (!known.contains(id)) {
-            known.add(id);
+        if (!knownRouters.contains(id)) {
+            knownRouters.add(id);
         }
     }
 
     /** Returns the other routers that have been found. */
-    List<RouterId> known() {
-        return known;
+    List<RouterId> knownRouters() {
+        return knownRouters;
     }
 
     private void readOthers(Consumer<RouterInfo> found) {
--- a/masticweir/src/main/java/org/masticweir/relay/PeerExchange.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PeerExchange.java
@@ -56,14 +56,14 @@
     private final KnownRouters routers;
     private final ScheduledExecutorService control;
     private final PeerDirectory directory;
-    private final LoadListener loads;
+    private final LoadListener loadListener;
     private final SharedQuarantine quarantine;
-    private final LimitExchange limits;
-    private final StoreSharing sharing;
-    private final CatalogSharing catalogs;
-    private final StoreReading reading;
-    private final Counter linksUp;
-    private final Set<RouterId> pendingRemotes = new HashSet<>();
+    private final LimitExchange limitExchange;
+    private final StoreSharing storeSharing;
+    private final CatalogSharing catalogSharing;
+    private final StoreReading storeReading;
+    private final Counter upLinkCount;
+    private final Set<RouterId> pendingRemoteRouters = new HashSet<>();
 
     /**
      * Receives the load that peers report for engines, and failures of servers; called on the
@@ -74,10 +74,10 @@
 
         void handleFailure(ServerIncarnation server, boolean gone);
 
-        void peerLost(RouterId peer);
+        void onPeerLost(RouterId peer);
 
         /** Sends the peer this router's load on each engine. */
-        void sendAll(RouterId peer);
+        void sendLoads(RouterId peer);
     }
 
     PeerExchange(
@@ -86,52 +86,53 @@
             KnownRouters routers,
             ScheduledExecutorService control,
             PeerDirectory directory,
-            LoadListener loads,
+            LoadListener loadListener,
             SharedQuarantine quarantine,
-            LimitExchange limits,
-            StoreSharing sharing,
-            CatalogSharing catalogs,
-            StoreReading reading,
-            Counter linksUp) {
+            LimitExchange limitExchange,
+            StoreSharing storeSharing,
+            CatalogSharing catalogSharing,
+            StoreReading storeReading,
+            Counter upLinkCount) {
         this.links = checkNotNull(links, "links");
         this.self = checkNotNull(self, "self");
         this.routers = checkNotNull(routers, "routers");
         this.control = checkNotNull(control, "control");
         this.directory = checkNotNull(directory, "directory");
-        this.loads = checkNotNull(loads, "loads");
+        this.loadListener = checkNotNull(loadListener, "loadListener");
         this.quarantine = checkNotNull(quarantine, "quarantine");
-        this.limits = checkNotNull(limits, "limits");
-        this.sharing = checkNotNull(sharing, "sharing");
-        this.catalogs = checkNotNull(catalogs, "catalogs");
-        this.reading = checkNotNull(reading, "reading");
-        this.linksUp = checkNotNull(linksUp, "linksUp");
+        this.limitExchange = checkNotNull(limitExchange, "limitExchange");
+        this.storeSharing = checkNotNull(storeSharing, "storeSharing");
+        this.catalogSharing = checkNotNull(catalogSharing, "catalogSharing");
+        this.storeReading = checkNotNull(storeReading, "storeReading");
+        this.upLinkCount = checkNotNull(upLinkCount, "upLinkCount");
     }
 
     /** Registers the message handlers; call before the links start. */
     void start() {
-        links.on(Introduction.class, (from, m, reply) -> onControl(() -> addRouter(m.router())));
+        links.on(Introduction.class, (from, m, reply) -> runOnControl(() -> addRouter(m.router())));
         links.on(
                 LoadUpdate.class,
-                (from, m, reply) -> onControl(() -> loads.handleLoad(from, m.loads())));
+                (from, m, reply) -> runOnControl(() -> loadListener.handleLoad(from, m.loads())));
         links.on(
                 FailureUpdate.class,
-                (from, m, reply) -> onControl(() -> loads.handleFailure(m.server(), m.isGone())));
+                (from, m, reply) ->
+                        runOnControl(() -> loadListener.handleFailure(m.server(), m.isGone())));
         links.on(CrashUpdate.class, (from, m, reply) -> quarantine.handleUpdate(from, m));
         links.on(
                 StoreStatus.class,
-                (from, m, reply) -> onControl(() -> sharing.handleStatus(from, m, reply)));
+                (from, m, reply) -> runOnControl(() -> storeSharing.handleStatus(from, m, reply)));
         links.on(
                 ServerUpdates.class,
-                (from, m, reply) -> onControl(() -> sharing.handleUpdates(from, m)));
+                (from, m, reply) -> runOnControl(() -> storeSharing.handleUpdates(from, m)));
         links.on(
                 ServersRequest.class,
-                (from, m, reply) -> onControl(() -> sharing.handleRequest(m, reply)));
+                (from, m, reply) -> runOnControl(() -> storeSharing.handleRequest(m, reply)));
         links.on(
                 CatalogRequest.class,
-                (from, m, reply) -> onControl(() -> catalogs.handleRequest(m, reply)));
-        limits.start();
+                (from, m, reply) -> runOnControl(() -> catalogSharing.handleRequest(m, reply)));
+        limitExchange.start();
         links.listen(new LinkEvents());
-        sharing.start();
+        storeSharing.start();
     }
 
     /** Adds a router, and connects to it now or after a short delay. */
@@ -139,19 +140,19 @@
         if (!routers.add(router)) {
             return;
         }
-        limits.addRouter(router.id());
+        limitExchange.addRouter(router.id());
         LOG.info("peers: {} of {} is at {}", router.id(), router.domain(), router.address());
         links.learn(router.id(), router.address());
         if (routers.isInOwnDomain(router.id())) {
             connect(router.id());
-        } else if (pendingRemotes.add(router.id())) {
-            long delayMs = REMOTE_DELAY_MS + pendingRemotes.size() * REMOTE_INTERVAL_MS;
+        } else if (pendingRemoteRouters.add(router.id())) {
+            long delayMs = REMOTE_DELAY_MS + pendingRemoteRouters.size() * REMOTE_INTERVAL_MS;
             control.schedule(() -> connectRemote(router.id()), delayMs, TimeUnit.MILLISECONDS);
         }
     }
 
     private void connectRemote(RouterId router) {
-        pendingRemotes.remove(router);
+        pendingRemoteRouters.remove(router);
         connect(router);
     }
 
@@ -164,7 +165,7 @@
         links.send(router, new Introduction(self));
     }
 
-    private void onControl(Runnable step) {
+    private void runOnControl(Runnable step) {
         ControlThread.execute(control, step, "peers");
     }
 
@@ -178,13 +179,13 @@
             if (direction != LinkDirection.OUTGOING) {
                 return;
             }
-            linksUp.inc();
-            onControl(
+            upLinkCount.inc();
+            runOnControl(
                     () -> {
                         LOG.info("peers: link to {} is up", peer.router());
                         links.send(peer.router(), new Introduction(self));
-                        sharing.linkUp(peer.router());
-                        loads.sendAll(peer.router());
+                        storeSharing.onLinkUp(peer.router());
+                        loadListener.sendLoads(peer.router());
                         quarantine.snapshot().ifPresent(m -> links.send(peer.router(), m));
                     });
         }
@@ -192,14 +193,14 @@
         @Override
         public void linkDown(RouterId peer, LinkDirection direction) {
             if (direction == LinkDirection.OUTGOING) {
-                linksUp.dec();
+                upLinkCount.dec();
             }
-            onControl(
+            runOnControl(
                     () -> {
                         LOG.info("peers: {} link with {} is down", direction, peer);
-                        reading.recordLinkClosed(peer);
+                        storeReading.recordLinkClosed(peer);
                         if (direction == LinkDirection.INCOMING) {
-                            loads.peerLost(peer);
+                            loadListener.onPeerLost(peer);
                             quarantine.removeTrialsOf(peer);
                         }
                     });
--- a/masticweir/src/main/java/org/masticweir/relay/RelayMessages.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayMessages.java
@@ -69,20 +69,20 @@
      * Requests the catalog if the peer's version is newer.
      *
      * @param newerThan the version that the sender holds
-     * @param takesEdits whether the sender can apply edits, which older routers cannot
+     * @param acceptsEdits whether the sender can apply edits, which older routers cannot
      */
-    record CatalogRequest(long newerThan, boolean takesEdits) implements PeerMessage {}
+    record CatalogRequest(long newerThan, boolean acceptsEdits) implements PeerMessage {}
 
     /**
      * Reply with the catalog, if it is newer: its full text, or an edit of the text that the
      * requesting router holds. An edit of the empty text applies to any text.
      */
     record CatalogReply(String text, Optional<PackedEdit> edit) implements PeerMessage {
-        static CatalogReply nothing() {
-            return whole("");
+        static CatalogReply empty() {
+            return fullText("");
         }
 
-        static CatalogReply whole(String text) {
+        static CatalogReply fullText(String text) {
             return new CatalogReply(text, Optional.empty());
         }
 
@@ -99,18 +99,19 @@
     /**
      * All server updates after one revision of the store up to another.
      *
-     * @param after {@link UpdateProgress#START} if the message lists all present servers
+     * @param afterRevision {@link UpdateProgress#BEFORE_FIRST_UPDATE} if the message lists all
+     *     present servers
      * @param removalDelayMs remaining delay of the pending removals among them, in ms
      */
     record ServerUpdates(
-            long after, long completeTo, long removalDelayMs, List<ServerUpdate> updates)
+            long afterRevision, long completeTo, long removalDelayMs, List<ServerUpdate> updates)
             implements PeerMessage {
         ServerUpdates {
             updates = ImmutableList.copyOf(updates);
         }
 
         boolean isFullList() {
-            return after == UpdateProgress.START;
+            return afterRevision == UpdateProgress.BEFORE_FIRST_UPDATE;
         }
     }
 
@@ -166,7 +167,7 @@
                         CatalogRequest.class,
                         2,
                         1,
-                        (m, out) -> out.packLong(m.newerThan()).packBoolean(m.takesEdits()),
+                        (m, out) -> out.packLong(m.newerThan()).packBoolean(m.acceptsEdits()),
                         f -> new CatalogRequest(f.int64(), f.hasMore() && f.bool())),
                 FieldsCodec.of(
                         CATALOG_REPLY,
@@ -254,7 +255,7 @@
     }
 
     private static void encodeServers(ServerUpdates message, MessagePacker out) throws IOException {
-        out.packLong(message.after())
+        out.packLong(message.afterRevision())
                 .packLong(message.completeTo())
                 .packLong(message.removalDelayMs());
         out.packArrayHeader(message.updates().size());
--- a/masticweir/src/main/java/org/masticweir/relay/RelayPorts.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayPorts.java
@@ -24,7 +24,7 @@
     private static final int IDLE_TIMEOUT_MS = 60_000;
 
     /** Timeout for reading the head of a request, in ms. */
-    private static final int HEAD_TIMEOUT_MS = 10_000;
+    private static final int HEADERS_TIMEOUT_MS = 10_000;
 
     private static final int MAX_HEADER_BYTES = 64 << 10;
     private static final int BACKLOG = 1_024;
@@ -32,9 +32,9 @@
     private final Undertow callers;
     private final Undertow management;
 
-    private RelayPorts(Undertow callers, Undertow others) {
+    private RelayPorts(Undertow callers, Undertow management) {
         this.callers = callers;
-        this.management = others;
+        this.management = management;
     }
 
     /** Creates ports that are not open yet. */
@@ -48,10 +48,10 @@
         checkNotNull(readyPath, "readyPath");
         Undertow.Builder callers = server(worker);
         listen(callers, settings.callers(), new HttpContinueReadHandler(requests));
-        Undertow.Builder others = server(worker);
-        listen(others, settings.balancer(), readiness(readyPath, ready));
-        listen(others, settings.metrics(), metricsPage(MetricsText.of(metrics)));
-        return new RelayPorts(callers.build(), others.build());
+        Undertow.Builder management = server(worker);
+        listen(management, settings.balancer(), readiness(readyPath, ready));
+        listen(management, settings.metrics(), metricsPage(MetricsText.of(metrics)));
+        return new RelayPorts(callers.build(), management.build());
     }
 
     private static Undertow.Builder server(XnioWorker worker) {
@@ -63,7 +63,7 @@
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MS)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, HEAD_TIMEOUT_MS);
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, HEADERS_TIMEOUT_MS);
     }
 
     /**
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
@@ -106,7 +106,7 @@
     private final ServerHealth health = ServerHealth.create();
     private final ServerNotices serverNotices = ServerNotices.create();
     private final MetricRegistry metrics = new MetricRegistry();
-    private final DrainingAdmission intake = new DrainingAdmission();
+    private final DrainingAdmission admission = new DrainingAdmission();
     private final KeepAliveConnections keepAlive = new KeepAliveConnections();
     private final ServiceRetryBudgets retryBudgets;
     private final PeerLinks links;
@@ -122,8 +122,8 @@
     private final ServerLimits serverLimits = ServerLimits.create();
     private final SharedPermits permits;
     private final SharedLimits limits;
-    private final AnswerMetadataRecorder notices;
-    private final LossInquiry losses;
+    private final AnswerMetadataRecorder metadataRecorder;
+    private final LossInquiry inquiry;
     private final InFlightRequests inFlight;
     private final PeerExchange peers;
     private final RelayShutdown shutdown;
@@ -138,7 +138,8 @@
         this.settings = checkNotNull(settings, "settings");
         this.clock = checkNotNull(clock, "clock");
         this.platform = checkNotNull(platform, "platform");
-        retryBudgets = ServiceRetryBudgets.of(settings.retryShare(), settings.retryAllowance());
+        retryBudgets =
+                ServiceRetryBudgets.of(settings.retriesPerRequest(), settings.retryAllowance());
         worker = newWorker();
         thread = worker.getIoThread();
         calls = HttpCaller.create(worker, HttpCallerLimits.defaults());
@@ -160,10 +161,10 @@
         quarantine = sharedQuarantine();
         permits = new SharedPermits(settings.router(), links, clock, thread, metrics);
         limits = sharedLimits();
-        notices =
+        metadataRecorder =
                 new AnswerMetadataRecorder(
                         serverNotices, limits, platform.protocol(), clock, metrics);
-        losses = lossInquiry();
+        inquiry = lossInquiry();
         inFlight = new InFlightRequests(quarantine);
         quarantine.onChange((c, q) -> thread.execute(() -> inFlight.onQuarantineChange(c, q)));
         peers =
@@ -185,9 +186,9 @@
                 RelayPorts.create(
                         settings,
                         worker,
-                        new RelayHandler(context(loadSharing), intake, keepAlive),
+                        new RelayHandler(context(loadSharing), admission, keepAlive),
                         platform.protocol().readyPath(),
-                        () -> deployment.isReady() && !intake.isDraining(),
+                        () -> deployment.isReady() && !admission.isDraining(),
                         metrics);
         callersPort =
                 new CallersPort(
@@ -220,7 +221,7 @@
         ports.openManagement();
         peers.start();
         links.start();
-        control.execute(() -> reading.follow(catalogFollower, serverFollower));
+        control.execute(() -> reading.setFollowers(catalogFollower, serverFollower));
         directory.join(peers::addRouter);
         quarantineStore.load(quarantine::restore);
         control.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
@@ -258,7 +259,7 @@
                 CATALOG_PACE,
                 (rows, since, dueMs) -> {
                     if (deployment.applyCatalogRows(rows)) {
-                        sharing.catalogChanged();
+                        sharing.onCatalogChange();
                     }
                 },
                 reading::role,
@@ -272,7 +273,7 @@
                 store,
                 SERVER_PACE,
                 (rows, since, dueMs) ->
-                        sharing.serversChanged(deployment.applyServerRows(rows, since, dueMs)),
+                        sharing.onServerUpdates(deployment.applyServerRows(rows, since, dueMs)),
                 reading::role,
                 control,
                 clock);
@@ -285,7 +286,7 @@
                 health,
                 incarnation -> view.server(incarnation),
                 clock,
-                directory::known,
+                directory::knownRouters,
                 links::send);
     }
 
@@ -295,7 +296,7 @@
                 clock,
                 metrics,
                 control,
-                update -> directory.known().forEach(p -> links.send(p, update)),
+                update -> directory.knownRouters().forEach(p -> links.send(p, update)),
                 quarantineStore::save);
     }
 
@@ -305,17 +306,17 @@
                 permits,
                 clock,
                 metrics,
-                update -> directory.known().forEach(p -> links.send(p, update)));
+                update -> directory.knownRouters().forEach(p -> links.send(p, update)));
     }
 
     private LossInquiry lossInquiry() {
-        ServerProbe check = new ServerProbe(calls, platform.protocol(), limits, notices);
+        ServerProbe check = new ServerProbe(calls, platform.protocol(), limits, metadataRecorder);
         return new LossInquiry(quarantine, check, clock);
     }
 
     private RelayShutdown relayShutdown() {
         return new RelayShutdown(
-                intake,
+                admission,
                 () -> thread.execute(keepAlive::closeAll),
                 () -> thread.execute(inFlight::endAll),
                 control,
@@ -338,7 +339,7 @@
                     loads.retainServers(present);
                     health.updateListed(present, clock.nowMs());
                     serverNotices.updateListed(present, clock.nowMs());
-                    losses.updateListed(present);
+                    inquiry.updateListed(present);
                     limits.retain(present);
                 });
     }
@@ -351,7 +352,7 @@
                 platform.protocol(),
                 new DefaultByteBufferPool(true, BUFFER_BYTES),
                 calls,
-                new PromptCacheClient(calls, platform.protocol(), notices, clock),
+                new PromptCacheClient(calls, platform.protocol(), metadataRecorder, clock),
                 () -> view,
                 loads,
                 health,
@@ -360,9 +361,9 @@
                 retryBudgets,
                 new SharedRetryPermits(retryBudgets, permits, clock),
                 limits,
-                notices,
+                metadataRecorder,
                 quarantine,
-                losses,
+                inquiry,
                 inFlight,
                 WaitQueue.create(),
                 SilenceTimeouts.create(),
@@ -428,7 +429,7 @@
      * shutdown.
      */
     public CompletableFuture<Void> shutdownFuture() {
-        return shutdown.done();
+        return shutdown.shutdownFuture();
     }
 
     /**
@@ -437,7 +438,8 @@
      */
     public void reload(RelaySettings changed) {
         LogSetup.level(Level.valueOf(changed.logLevel().name()));
-        thread.execute(() -> retryBudgets.update(changed.retryShare(), changed.retryAllowance()));
+        thread.execute(
+                () -> retryBudgets.update(changed.retriesPerRequest(), changed.retryAllowance()));
         LOG.info("router: settings reloaded, log level {}", changed.logLevel());
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/RelayShutdown.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayShutdown.java
@@ -35,31 +35,31 @@
 
     private static final long CHECK_INTERVAL_MS = 50;
 
-    private final DrainingAdmission intake;
-    private final Runnable closeIdle;
+    private final DrainingAdmission admission;
+    private final Runnable closeIdleConnections;
     private final Runnable endRequests;
     private final ScheduledExecutorService control;
     private final Clock clock;
     private final long graceMs;
-    private final CompletableFuture<Void> done = new CompletableFuture<>();
-    private boolean started;
+    private final CompletableFuture<Void> shutdownFuture = new CompletableFuture<>();
+    private boolean isStarted;
 
     /**
      * Creates a shutdown that begins with {@link #start}.
      *
-     * @param closeIdle closes the idle connections of callers
+     * @param closeIdleConnections closes the idle connections of callers
      * @param endRequests ends the requests in flight, each with an answer
      */
     RelayShutdown(
-            DrainingAdmission intake,
-            Runnable closeIdle,
+            DrainingAdmission admission,
+            Runnable closeIdleConnections,
             Runnable endRequests,
             ScheduledExecutorService control,
             Clock clock,
             long graceMs) {
         checkArgument(graceMs >= 0, "grace period of %s ms", graceMs);
-        this.intake = checkNotNull(intake, "intake");
-        this.closeIdle = checkNotNull(closeIdle, "closeIdle");
+        this.admission = checkNotNull(admission, "admission");
+        this.closeIdleConnections = checkNotNull(closeIdleConnections, "closeIdleConnections");
         this.endRequests = checkNotNull(endRequests, "endRequests");
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
@@ -73,54 +73,56 @@
      * @param sinceMs time of the shutdown request, at which the grace period begins
      */
     synchronized CompletableFuture<Void> start(long sinceMs) {
-        if (!started) {
-            started = true;
+        if (!isStarted) {
+            isStarted = true;
             long now = clock.nowMs();
             LOG.info(
                     "router: leaving, told {} ms ago, {} requests under way",
                     now - sinceMs,
-                    intake.inFlightCount());
+                    admission.inFlightCount());
             long endsMs = sinceMs + Math.max(0, graceMs - CLOSE_RESERVE_MS - LAST_ANSWERS_MS);
-            intake.startDraining(sinceMs, endsMs);
-            runAt(Math.min(sinceMs + BALANCER_REACTION_MS, endsMs), closeIdle);
+            admission.startDraining(sinceMs, endsMs);
+            runAt(Math.min(sinceMs + BALANCER_REACTION_MS, endsMs), closeIdleConnections);
             // Scheduled before the first check: on a late thread, the check must not complete the
             // shutdown while requests have no answer.
             runAt(endsMs, this::endRequests);
             runAt(
                     Math.min(sinceMs + DrainingAdmission.BALANCER_DETECTION_MS, endsMs),
-                    () -> check(sinceMs));
+                    () -> checkCompletion(sinceMs));
         }
-        return done;
+        return shutdownFuture;
     }
 
     /** Returns a future that completes with that of {@link #start}; does not start the shutdown. */
-    CompletableFuture<Void> done() {
-        return done.copy();
+    CompletableFuture<Void> shutdownFuture() {
+        return shutdownFuture.copy();
     }
 
     private void endRequests() {
-        if (!done.isDone()) {
-            LOG.info("router: the time to leave is over, {} requests left", intake.inFlightCount());
-            intake.close();
+        if (!shutdownFuture.isDone()) {
+            LOG.info(
+                    "router: the time to leave is over, {} requests left",
+                    admission.inFlightCount());
+            admission.close();
             endRequests.run();
         }
     }
 
-    private void check(long sinceMs) {
-        int left = intake.inFlightCount();
-        if (left == 0) {
+    private void checkCompletion(long sinceMs) {
+        int remaining = admission.inFlightCount();
+        if (remaining == 0) {
             // Closed before the last count: a request that arrives in between is refused, not cut
             // off.
-            intake.close();
-            left = intake.inFlightCount();
+            admission.close();
+            remaining = admission.inFlightCount();
         }
         long passedMs = clock.nowMs() - sinceMs;
-        if (left == 0 || passedMs >= graceMs - CLOSE_RESERVE_MS) {
-            LOG.info("router: left after {} ms, {} requests cut off", passedMs, left);
-            done.complete(null);
+        if (remaining == 0 || passedMs >= graceMs - CLOSE_RESERVE_MS) {
+            LOG.info("router: left after {} ms, {} requests cut off", passedMs, remaining);
+            shutdownFuture.complete(null);
             return;
         }
-        runAt(clock.nowMs() + CHECK_INTERVAL_MS, () -> check(sinceMs));
+        runAt(clock.nowMs() + CHECK_INTERVAL_MS, () -> checkCompletion(sinceMs));
     }
 
     private void runAt(long ms, Runnable step) {
--- a/masticweir/src/main/java/org/masticweir/relay/StoreReading.java
+++ b/masticweir/src/main/java/org/masticweir/relay/StoreReading.java
@@ -16,31 +16,31 @@
 final class StoreReading {
     private static final Logger LOG = LogManager.getLogger(StoreReading.class);
 
-    private final ReadingShare share;
+    private final ReadingShare readingShare;
     private final Clock clock;
     private List<TableFollower> followers = List.of();
     private ReadingRole lastRole = ReadingRole.TOLD;
 
-    StoreReading(ReadingShare share, Clock clock) {
-        this.share = checkNotNull(share, "share");
+    StoreReading(ReadingShare readingShare, Clock clock) {
+        this.readingShare = checkNotNull(readingShare, "readingShare");
         this.clock = checkNotNull(clock, "clock");
     }
 
     /** Sets the followers of all tables, once. */
-    void follow(TableFollower... tables) {
+    void setFollowers(TableFollower... tables) {
         followers = List.of(tables);
         tick();
     }
 
     ReadingRole role() {
-        return share.role(clock.nowMs());
+        return readingShare.role(clock.nowMs());
     }
 
     /** Starts reading if the role now requires it, and logs a change of the role. */
     void tick() {
         ReadingRole role = role();
         if (role != lastRole) {
-            LOG.info("store: {} after {}, {}", role, lastRole, share.basis(clock.nowMs()));
+            LOG.info("store: {} after {}, {}", role, lastRole, readingShare.basis(clock.nowMs()));
             lastRole = role;
         }
         if (role.reads()) {
@@ -50,12 +50,12 @@
 
     /** Records the store contact reported by a router of the own domain. */
     void recordContact(RouterId from, StoreContact contact) {
-        share.heard(from, contact, clock.nowMs());
+        readingShare.heard(from, contact, clock.nowMs());
     }
 
     /** Records that the link from a router has closed. */
     void recordLinkClosed(RouterId router) {
-        share.closed(router);
+        readingShare.closed(router);
     }
 
     /**
@@ -63,7 +63,7 @@
      * reads the store.
      */
     void recordReceived(TableFollower servers, long revision) {
-        servers.told(revision, share.wasLost(clock.nowMs()));
+        servers.told(revision, readingShare.wasLost(clock.nowMs()));
     }
 
     /** Returns the store contact to report to peers: the worst among the followers. */
--- a/masticweir/src/main/java/org/masticweir/relay/StoreSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/StoreSharing.java
@@ -44,35 +44,35 @@
     private final PeerSender links;
     private final KnownRouters routers;
     private final DeploymentState deployment;
-    private final CatalogSharing catalogs;
-    private final StoreReading reading;
-    private final LongConsumer updatesReceived;
+    private final CatalogSharing catalogSharing;
+    private final StoreReading storeReading;
+    private final LongConsumer updatesListener;
     private final ScheduledExecutorService control;
     private long round;
-    private boolean requestInFlight;
+    private boolean isRequestInFlight;
 
     /**
      * Creates an instance that sends nothing before {@link #start}.
      *
-     * @param updatesReceived receives the revision up to which all server updates have been
+     * @param updatesListener receives the revision up to which all server updates have been
      *     received, as confirmed by a router in contact with the store
      */
     StoreSharing(
             PeerSender links,
             KnownRouters routers,
             DeploymentState deployment,
-            CatalogSharing catalogs,
-            StoreReading reading,
-            LongConsumer updatesReceived,
+            CatalogSharing catalogSharing,
+            StoreReading storeReading,
+            LongConsumer updatesListener,
             ScheduledExecutorService control) {
         this.links = checkNotNull(links, "links");
         this.routers = checkNotNull(routers, "routers");
         this.deployment = checkNotNull(deployment, "deployment");
-        this.catalogs = checkNotNull(catalogs, "catalogs");
-        this.reading = checkNotNull(reading, "reading");
-        this.updatesReceived = checkNotNull(updatesReceived, "updatesReceived");
+        this.catalogSharing = checkNotNull(catalogSharing, "catalogSharing");
+        this.storeReading = checkNotNull(storeReading, "storeReading");
+        this.updatesListener = checkNotNull(updatesListener, "updatesListener");
         this.control = checkNotNull(control, "control");
-        catalogs.onNewerVersion(this::catalogReceived);
+        catalogSharing.onNewerVersion(this::onCatalogReceived);
     }
 
     /** Starts the periodic messages to peers. */
@@ -89,27 +89,27 @@
      * Sends the status to a peer whose link has come up: the peer may have missed changes for a
      * long time.
      */
-    void linkUp(RouterId peer) {
+    void onLinkUp(RouterId peer) {
         if (routers.storeRecipients().contains(peer)) {
             links.send(peer, ownStatus());
         }
     }
 
     /** Notifies peers of a catalog received from the store. */
-    void catalogChanged() {
-        catalogs.recordCatalog();
+    void onCatalogChange() {
+        catalogSharing.recordCatalog();
         send(routers.storeRecipients(), ownStatus());
     }
 
     /** Notifies the own domain of a catalog received from another domain. */
-    private void catalogReceived(RouterId by) {
+    private void onCatalogReceived(RouterId by) {
         if (!routers.isInOwnDomain(by)) {
             send(routers.ownDomain(), ownStatus());
         }
     }
 
     /** Sends server updates from the store to peers. */
-    void serversChanged(Optional<ServerUpdates> updates) {
+    void onServerUpdates(Optional<ServerUpdates> updates) {
         updates.ifPresent(u -> send(routers.storeRecipients(), u));
     }
 
@@ -120,7 +120,7 @@
     private StoreStatus ownStatus() {
         return new StoreStatus(
                 deployment.catalogVersion(),
-                reading.contact(),
+                storeReading.contact(),
                 deployment.newestUpdate(),
                 deployment.completeTo());
     }
@@ -130,7 +130,7 @@
      * store: without these messages, substitutes would start to read.
      */
     void reportToOwnDomain() {
-        if (reading.role().reads()) {
+        if (storeReading.role().reads()) {
             send(routers.ownDomain(), ownStatus());
         }
     }
@@ -140,7 +140,7 @@
         StoreStatus status = ownStatus();
         for (RouterId peer : routers.pollTargets(round++)) {
             links.ask(peer, status, REQUEST_TIMEOUT_MS)
-                    .thenAccept(m -> onControl(() -> recordStatus(peer, (StoreStatus) m)))
+                    .thenAccept(m -> runOnControl(() -> recordStatus(peer, (StoreStatus) m)))
                     .exceptionally(
                             e -> {
                                 LOG.debug("peers: no reply from {}, {}", peer, e.getMessage());
@@ -157,18 +157,18 @@
 
     private void recordStatus(RouterId from, StoreStatus status) {
         if (routers.isInOwnDomain(from)) {
-            reading.recordContact(from, status.contact());
+            storeReading.recordContact(from, status.contact());
         }
         boolean isStoreAnswering = status.contact() == StoreContact.HEARD;
         if (status.catalogVersion() > deployment.catalogVersion()) {
-            catalogs.handleVersion(from, status.catalogVersion());
+            catalogSharing.handleVersion(from, status.catalogVersion());
         } else if (isStoreAnswering) {
             deployment.recordConfirmation();
         }
         if (!deployment.recordPeerProgress(status.newestUpdate(), status.completeTo())) {
             requestUpdates(from);
         } else if (isStoreAnswering) {
-            updatesReceived.accept(deployment.completeTo());
+            updatesListener.accept(deployment.completeTo());
         }
     }
 
@@ -184,16 +184,16 @@
     }
 
     private void requestUpdates(RouterId from) {
-        if (requestInFlight || !reading.dependsOnPeers()) {
+        if (isRequestInFlight || !storeReading.dependsOnPeers()) {
             return;
         }
-        requestInFlight = true;
+        isRequestInFlight = true;
         links.ask(from, deployment.updatesRequest(), REQUEST_TIMEOUT_MS)
                 .whenComplete(
                         (m, e) ->
-                                onControl(
+                                runOnControl(
                                         () -> {
-                                            requestInFlight = false;
+                                            isRequestInFlight = false;
                                             handleReply(from, Optional.ofNullable(m));
                                         }));
     }
@@ -211,7 +211,7 @@
         reply.send(deployment.replyTo(request));
     }
 
-    private void onControl(Runnable step) {
+    private void runOnControl(Runnable step) {
         ControlThread.execute(control, step, "peers");
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/UnreadableRows.java
+++ b/masticweir/src/main/java/org/masticweir/relay/UnreadableRows.java
@@ -45,8 +45,8 @@
     }
 
     void report(RowKey row, long revision, String reason) {
-        Long before = reportedRevisions.put(row, revision);
-        if (before != null && before == revision) {
+        Long previousRevision = reportedRevisions.put(row, revision);
+        if (previousRevision != null && previousRevision == revision) {
             return;
         }
         counter.inc();
--- a/masticweir/src/main/java/org/masticweir/relay/UpdateProgress.java
+++ b/masticweir/src/main/java/org/masticweir/relay/UpdateProgress.java
@@ -10,10 +10,10 @@
  */
 final class UpdateProgress {
     /** Revision before all updates: a message that starts at it lists all present servers. */
-    static final long START = -1;
+    static final long BEFORE_FIRST_UPDATE = -1;
 
-    private long completeTo = START;
-    private long newest = START;
+    private long completeTo = BEFORE_FIRST_UPDATE;
+    private long newestUpdate = BEFORE_FIRST_UPDATE;
 
     /**
      * Records a reading of the store at {@code revision} whose newest row was written at {@code
@@ -21,7 +21,7 @@
      */
     void recordReading(long revision, long newestRevision) {
         completeTo = Math.max(completeTo, revision);
-        newest = Math.max(newest, newestRevision);
+        newestUpdate = Math.max(newestUpdate, newestRevision);
     }
 
     /**
@@ -31,25 +31,25 @@
      * @param newestRevision revision of the newest of these updates; {@code after} if there are
      *     none
      */
-    boolean recordUpdates(long after, long upTo, long newestRevision) {
-        newest = Math.max(newest, newestRevision);
-        if (after > completeTo) {
+    boolean recordUpdates(long afterRevision, long upToRevision, long newestRevision) {
+        newestUpdate = Math.max(newestUpdate, newestRevision);
+        if (afterRevision > completeTo) {
             return false;
         }
-        completeTo = Math.max(completeTo, upTo);
+        completeTo = Math.max(completeTo, upToRevision);
         return true;
     }
 
     /**
-     * Returns the revision up to which all updates have been received; {@link #START} before the
-     * first.
+     * Returns the revision up to which all updates have been received; {@link #BEFORE_FIRST_UPDATE}
+     * before the first.
      */
     long completeTo() {
         return completeTo;
     }
 
     /** Returns the revision of the newest update for which all earlier ones have been received. */
-    long newest() {
-        return Math.min(newest, completeTo);
+    long newestUpdate() {
+        return Math.min(newestUpdate, completeTo);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogDistributionTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogDistributionTest.java
@@ -53,7 +53,7 @@
         return Long.toString(random.nextLong() >>> 24, Character.MAX_RADIX);
     }
 
-    private static SimulatedFleet settled(String catalog) {
+    private static SimulatedFleet settledFleet(String catalog) {
         SimulatedFleet fleet = new SimulatedFleet(ROUTERS, DOMAINS, BYTES_PER_MS, catalog);
         fleet.runFor(SETTLED_MS);
         assertEquals(ROUTERS, fleet.countHoldersAfter(1, 0), "routers that hold version 1");
@@ -70,7 +70,7 @@
      */
     @Nested
     class Change {
-        private final SimulatedFleet fleet = settled(catalog(1, ROUTES));
+        private final SimulatedFleet fleet = settledFleet(catalog(1, ROUTES));
 
         @Test
         void ofOneLimitIsInForceEverywhereInTime() {
@@ -113,7 +113,7 @@
     @Nested
     class ChangeSlowerThanTheRequestTimeout {
         private static final int TEAMS = 4_500;
-        private static final int KEYS_A_TEAM = 4;
+        private static final int KEYS_PER_TEAM = 4;
 
         /** Time within which any change is in force everywhere, in ms. */
         private static final long ANY_CHANGE_MS = 10_000;
@@ -124,7 +124,7 @@
             for (int i = 0; i < TEAMS; i++) {
                 text.append(i == 0 ? "" : ",").append("{\"name\":\"t").append(i);
                 text.append("\",\"apiKeys\":[");
-                for (int key = 0; key < KEYS_A_TEAM; key++) {
+                for (int key = 0; key < KEYS_PER_TEAM; key++) {
                     text.append(key == 0 ? "\"" : ",\"").append(name(random));
                     text.append(name(random)).append(name(random)).append('"');
                 }
@@ -135,7 +135,7 @@
 
         @Test
         void isEventuallyInForceEverywhere() {
-            SimulatedFleet fleet = settled(allKeysOf(1));
+            SimulatedFleet fleet = settledFleet(allKeysOf(1));
             fleet.store.catalog(allKeysOf(2));
             assertEquals(
                     ROUTERS, fleet.countHoldersAfter(2, ANY_CHANGE_MS), "routers that hold it");
@@ -143,7 +143,7 @@
 
         @Test
         void isSentAtMostTwiceToEachRouter() {
-            SimulatedFleet fleet = settled(allKeysOf(1));
+            SimulatedFleet fleet = settledFleet(allKeysOf(1));
             long packed = PackedEdit.of(DocumentEdit.between("", allKeysOf(2))).length();
             long before = fleet.sentBytes();
             fleet.store.catalog(allKeysOf(2));
@@ -164,7 +164,7 @@
 
         @Test
         void isEventuallyReceivedEverywhere() {
-            SimulatedFleet fleet = settled("1");
+            SimulatedFleet fleet = settledFleet("1");
             fleet.isCut = (from, to) -> true;
             for (int i = 2; i <= SERVERS; i++) {
                 fleet.store.put("server-of-the-pool-" + i, Integer.toString(i));
@@ -187,7 +187,7 @@
 
         @Test
         void isInForceEverywhereInTime() {
-            SimulatedFleet fleet = settled(catalog(1, MANY_ROUTES));
+            SimulatedFleet fleet = settledFleet(catalog(1, MANY_ROUTES));
             fleet.store.catalog(catalog(2, MANY_ROUTES));
             assertInForceInTime(fleet, 2);
         }
@@ -201,13 +201,14 @@
     class DisconnectedRouter {
         @Test
         void receivesTheNewestVersionInTime() {
-            SimulatedFleet fleet = settled(catalog(1, ROUTES));
+            SimulatedFleet fleet = settledFleet(catalog(1, ROUTES));
             List<SimulatedFleet.Router> ranked = fleet.byRank("d0");
             SimulatedFleet.Router disconnected = ranked.get(ranked.size() - 1);
             disconnected.fault = SimulatedFleet.StoreFault.SILENT;
             fleet.isCut =
                     (from, to) ->
-                            from.equals(disconnected.at.id()) || to.equals(disconnected.at.id());
+                            from.equals(disconnected.info.id())
+                                    || to.equals(disconnected.info.id());
             for (int version = 2; version <= 9; version++) {
                 fleet.store.catalog(catalog(version, ROUTES));
                 fleet.runFor(BOUND_MS);
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogRepliesTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogRepliesTest.java
@@ -57,17 +57,17 @@
 
         @Test
         void areEmptyForTheNewestVersion() {
-            assertEquals(CatalogReply.nothing(), texts.replyTo(new CatalogRequest(0, true)));
+            assertEquals(CatalogReply.empty(), texts.replyTo(new CatalogRequest(0, true)));
             putInForce(1, 2);
-            assertEquals(CatalogReply.nothing(), texts.replyTo(new CatalogRequest(2, true)));
-            assertEquals(CatalogReply.nothing(), texts.replyTo(new CatalogRequest(3, true)));
+            assertEquals(CatalogReply.empty(), texts.replyTo(new CatalogRequest(2, true)));
+            assertEquals(CatalogReply.empty(), texts.replyTo(new CatalogRequest(3, true)));
         }
 
         @Test
         void containTheFullTextForAnOlderRouter() {
             putInForce(1, 2);
             CatalogReply reply = texts.replyTo(new CatalogRequest(1, false));
-            assertEquals(CatalogReply.whole(text(2)), reply);
+            assertEquals(CatalogReply.fullText(text(2)), reply);
         }
 
         /**
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogSchedulePropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogSchedulePropertyTest.java
@@ -59,7 +59,7 @@
                 case 0, 1 -> fleet.store.catalog(text(++version));
                 case 2 -> fleet.store.latencyMs = ANSWERS_MS[random.nextInt(ANSWERS_MS.length)];
                 case 3 -> randomRouter().fault = StoreFault.values()[random.nextInt(3)];
-                case 4 -> cutOff(randomRouter().at.id());
+                case 4 -> partition(randomRouter().info.id());
                 case 5 -> stop(randomRouter());
                 default -> fleet.isCut = (from, to) -> false;
             }
@@ -67,13 +67,13 @@
             assertNoVersionDecreased();
         }
 
-        private void cutOff(RouterId one) {
-            fleet.isCut = (from, to) -> from.equals(one) || to.equals(one);
+        private void partition(RouterId router) {
+            fleet.isCut = (from, to) -> from.equals(router) || to.equals(router);
         }
 
         /** Keeps at least a third of the routers running, so that a fleet remains to be checked. */
         private void stop(Router router) {
-            long running = fleet.routers.values().stream().filter(r -> r.running).count();
+            long running = fleet.routers.values().stream().filter(r -> r.isRunning).count();
             if (running > ROUTERS / 3) {
                 router.stopAndCloseLinks();
             }
@@ -82,9 +82,9 @@
         private void assertNoVersionDecreased() {
             for (Router router : fleet.routers.values()) {
                 long now = router.catalogVersion();
-                long before = observedVersions.getOrDefault(router.at.id(), 0L);
-                assertTrue(now >= before, router.at.id() + " from " + before + " to " + now);
-                observedVersions.put(router.at.id(), now);
+                long before = observedVersions.getOrDefault(router.info.id(), 0L);
+                assertTrue(now >= before, router.info.id() + " from " + before + " to " + now);
+                observedVersions.put(router.info.id(), now);
             }
         }
 
@@ -104,9 +104,9 @@
         }
         simulation.endFaults();
         for (Router router : simulation.fleet.routers.values()) {
-            if (router.running) {
+            if (router.isRunning) {
                 assertEquals(
-                        simulation.version, router.catalogVersion(), router.at.id() + " holds");
+                        simulation.version, router.catalogVersion(), router.info.id() + " holds");
             }
         }
     }
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogSharingTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogSharingTest.java
@@ -42,7 +42,7 @@
     }
 
     private void putInForce(long version) {
-        deployment.catalogText(text(version), "store");
+        deployment.applyCatalogText(text(version), "store");
         sharing.recordCatalog();
     }
 
@@ -94,7 +94,7 @@
     void unparsableVersionIsRequestedOnce() {
         putInForce(1);
         sharing.handleVersion(FIRST, 2);
-        reply(0, CatalogReply.whole("not a catalog"));
+        reply(0, CatalogReply.fullText("not a catalog"));
         sharing.handleVersion(FIRST, 2);
         runPastHedgeDelay();
         sharing.handleVersion(SECOND, 2);
--- a/masticweir/src/test/java/org/masticweir/relay/DeploymentStateTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/DeploymentStateTest.java
@@ -123,16 +123,16 @@
      */
     @Nested
     class NewerCatalogAtPeers {
-        private static final long FRESH_MS = DeploymentState.FRESH_MS;
+        private static final long FRESH_MS = DeploymentState.CATALOG_FRESHNESS_MS;
 
         private void putInForce(long version) {
-            deployment.catalogText(Long.toString(version), "store");
+            deployment.applyCatalogText(Long.toString(version), "store");
             deployment.recordConfirmation();
             deployment.tick();
         }
 
-        private void versionReported(long version) {
-            deployment.recordVersion(version);
+        private void reportVersion(long version) {
+            deployment.recordReportedVersion(version);
             deployment.tick();
         }
 
@@ -140,7 +140,7 @@
         void endsFreshnessUntilItIsReceived() {
             putInForce(1);
             assertTrue(view.isCatalogFresh());
-            versionReported(2);
+            reportVersion(2);
             assertFalse(view.isCatalogFresh());
             putInForce(2);
             assertTrue(view.isCatalogFresh());
@@ -149,7 +149,7 @@
         @Test
         void isIgnoredOnceNoPeerReportsIt() {
             putInForce(1);
-            versionReported(2);
+            reportVersion(2);
             clock.advanceMs(FRESH_MS + 1);
             putInForce(1);
             assertTrue(view.isCatalogFresh());
@@ -158,8 +158,8 @@
         @Test
         void doesNotIncludeHeldOrOlderVersions() {
             putInForce(2);
-            versionReported(2);
-            versionReported(1);
+            reportVersion(2);
+            reportVersion(1);
             assertTrue(view.isCatalogFresh());
         }
     }
@@ -240,7 +240,7 @@
         }
 
         private String peerServers() {
-            return peer.updatesAfter(UpdateProgress.START).updates().stream()
+            return peer.updatesAfter(UpdateProgress.BEFORE_FIRST_UPDATE).updates().stream()
                     .map(w -> w.id().value())
                     .sorted()
                     .collect(Collectors.joining(" "));
@@ -303,7 +303,7 @@
     @Nested
     class RestartedServers {
         @Test
-        void areAtTheAddressOfTheLaterLife() {
+        void areAtTheAddressOfTheLaterIncarnation() {
             applyRows(true, row("e1", 1, "81@500"));
             applyRows(false, row("e1", 2, "91@900"));
             assertEquals("e1@900:91", servers());
--- a/masticweir/src/test/java/org/masticweir/relay/FakeStore.java
+++ b/masticweir/src/test/java/org/masticweir/relay/FakeStore.java
@@ -93,7 +93,7 @@
         scheduler.at(
                 scheduler.clock().nowMs() + latencyMs,
                 () -> {
-                    if (router.running && router.fault != SimulatedFleet.StoreFault.SILENT) {
+                    if (router.isRunning && router.fault != SimulatedFleet.StoreFault.SILENT) {
                         answer.run();
                     }
                 });
--- a/masticweir/src/test/java/org/masticweir/relay/HedgedPeerRequestTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/HedgedPeerRequestTest.java
@@ -20,7 +20,7 @@
  */
 class HedgedPeerRequestTest {
     private static final CatalogRequest QUESTION = new CatalogRequest(1, true);
-    private static final PeerMessage REPLY = CatalogReply.whole("2");
+    private static final PeerMessage REPLY = CatalogReply.fullText("2");
     private static final RouterId FIRST = RouterId.of("first");
     private static final RouterId SECOND = RouterId.of("second");
     private static final RouterId THIRD = RouterId.of("third");
--- a/masticweir/src/test/java/org/masticweir/relay/RelayShutdownTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/RelayShutdownTest.java
@@ -17,14 +17,19 @@
     private static final long LAST_SIXTH_MS = GRACE_MS - GRACE_MS / 6;
 
     private final ManualScheduler control = new ManualScheduler();
-    private final DrainingAdmission intake = new DrainingAdmission();
+    private final DrainingAdmission admission = new DrainingAdmission();
     private long idleClosedAtMs;
     private long endedAtMs;
     private long answerDelayMs;
     private int inFlightAtTheEnd;
     private final RelayShutdown shutdown =
             new RelayShutdown(
-                    intake, this::closeIdle, this::endRequests, control, control.clock(), GRACE_MS);
+                    admission,
+                    this::closeIdle,
+                    this::endRequests,
+                    control,
+                    control.clock(),
+                    GRACE_MS);
 
     private void closeIdle() {
         idleClosedAtMs = control.clock().nowMs();
@@ -33,7 +38,7 @@
     private void endRequests() {
         endedAtMs = control.clock().nowMs();
         if (answerDelayMs > 0) {
-            control.at(endedAtMs + answerDelayMs, intake::requestEnded);
+            control.at(endedAtMs + answerDelayMs, admission::requestEnded);
         }
     }
 
@@ -44,16 +49,16 @@
         assertFalse(done.isDone());
         control.runTo(DrainingAdmission.BALANCER_DETECTION_MS);
         assertTrue(done.isDone());
-        assertFalse(intake.admits(1, DrainingAdmission.BALANCER_DETECTION_MS));
+        assertFalse(admission.admits(1, DrainingAdmission.BALANCER_DETECTION_MS));
     }
 
     @Test
     void waitsForRequestsInFlight() {
-        intake.requestStarted();
+        admission.requestStarted();
         CompletableFuture<Void> done = shutdown.start(0);
         control.runTo(5_000);
         assertFalse(done.isDone());
-        intake.requestEnded();
+        admission.requestEnded();
         control.runTo(5_100);
         assertTrue(done.isDone());
         control.runTo(GRACE_MS);
@@ -75,21 +80,21 @@
     /** The process ended with a request in flight, and its caller's connection broke. */
     @Test
     void endsRequestsWithAnAnswerBeforeTheProcessEnds() {
-        intake.requestStarted();
+        admission.requestStarted();
         CompletableFuture<Void> done = shutdown.start(0);
         control.runTo(GRACE_MS);
         assertTrue(done.isDone());
         assertTrue(endedAtMs >= LAST_SIXTH_MS, "at " + endedAtMs);
-        assertFalse(intake.admits(1, endedAtMs));
+        assertFalse(admission.admits(1, endedAtMs));
     }
 
     /** The process ended before a busy thread could write the answers of the last requests. */
     @Test
     void waitsForAnswersOnALateThread() {
         answerDelayMs = 250;
-        intake.requestStarted();
+        admission.requestStarted();
         CompletableFuture<Void> done = shutdown.start(0);
-        done.thenRun(() -> inFlightAtTheEnd = intake.inFlightCount());
+        done.thenRun(() -> inFlightAtTheEnd = admission.inFlightCount());
         control.runTo(GRACE_MS);
         assertTrue(done.isDone());
         assertEquals(0, inFlightAtTheEnd);
@@ -97,11 +102,11 @@
 
     @Test
     void refusesRequestsThatMayEndLater() {
-        intake.requestStarted();
+        admission.requestStarted();
         shutdown.start(0);
-        long endsMs = intake.remainingMs(0);
-        assertTrue(intake.admits(endsMs - 4_000 - 1, 4_000));
-        assertFalse(intake.admits(endsMs - 4_000, 4_000));
+        long endsMs = admission.remainingMs(0);
+        assertTrue(admission.admits(endsMs - 4_000 - 1, 4_000));
+        assertFalse(admission.admits(endsMs - 4_000, 4_000));
         control.runTo(GRACE_MS);
         assertEquals(endsMs, endedAtMs);
     }
@@ -112,10 +117,11 @@
      */
     @Test
     void gracePeriodBeginsAtTheShutdownRequest() {
-        intake.requestStarted();
+        admission.requestStarted();
         control.runTo(DrainingAdmission.STREAM_ADMISSION_MS);
         CompletableFuture<Void> done = shutdown.start(0);
-        assertFalse(intake.admitsStream(OptionalLong.of(1), DrainingAdmission.STREAM_ADMISSION_MS));
+        assertFalse(
+                admission.admitsStream(OptionalLong.of(1), DrainingAdmission.STREAM_ADMISSION_MS));
         control.runTo(GRACE_MS);
         assertTrue(done.isDone());
         assertTrue(endedAtMs < GRACE_MS, "at " + endedAtMs);
--- a/masticweir/src/test/java/org/masticweir/relay/ShutdownSchedulePropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ShutdownSchedulePropertyTest.java
@@ -63,13 +63,13 @@
      */
     private static final class Simulation {
         private final ManualScheduler control = new ManualScheduler();
-        private final DrainingAdmission intake = new DrainingAdmission();
+        private final DrainingAdmission admission = new DrainingAdmission();
         private final Set<Arrival> inFlight = new HashSet<>();
-        private final List<Arrival> cutOff = new ArrayList<>();
+        private final List<Arrival> interruptedRequests = new ArrayList<>();
         private final RelayShutdown shutdown =
                 new RelayShutdown(
-                        intake, () -> {}, this::endRequests, control, control.clock(), GRACE_MS);
-        private CompletableFuture<Void> done = new CompletableFuture<>();
+                        admission, () -> {}, this::endRequests, control, control.clock(), GRACE_MS);
+        private CompletableFuture<Void> shutdownFuture = new CompletableFuture<>();
         private long doneAtMs = Long.MAX_VALUE;
 
         void run(List<Arrival> arrivals, long requestedMs) {
@@ -79,18 +79,18 @@
         }
 
         private void startShutdown() {
-            done = shutdown.start(0);
-            done.thenRun(() -> doneAtMs = control.clock().nowMs());
+            shutdownFuture = shutdown.start(0);
+            shutdownFuture.thenRun(() -> doneAtMs = control.clock().nowMs());
         }
 
         private void handleArrival(Arrival arrival) {
             long now = control.clock().nowMs();
             boolean taken =
                     arrival.stream()
-                            ? intake.admitsStream(OptionalLong.of(arrival.expectedMs()), now)
-                            : intake.admits(arrival.timeoutMs(), now);
-            if (taken && !done.isDone()) {
-                intake.requestStarted();
+                            ? admission.admitsStream(OptionalLong.of(arrival.expectedMs()), now)
+                            : admission.admits(arrival.timeoutMs(), now);
+            if (taken && !shutdownFuture.isDone()) {
+                admission.requestStarted();
                 inFlight.add(arrival);
                 control.at(Math.max(now, arrival.endsMs()), () -> end(arrival));
             }
@@ -98,18 +98,18 @@
 
         private void end(Arrival arrival) {
             if (inFlight.remove(arrival)) {
-                intake.requestEnded();
+                admission.requestEnded();
             }
         }
 
         private void endRequests() {
-            cutOff.addAll(inFlight);
+            interruptedRequests.addAll(inFlight);
             List.copyOf(inFlight).forEach(this::end);
         }
     }
 
     @Property(tries = 500)
-    void noRequestIsCutOffByTheEndOfTheProcess(
+    void endOfTheProcessInterruptsNoRequest(
             @ForAll List<@From("arrivals") Arrival> arrivals,
             @ForAll @IntRange(max = MAX_DELAY_MS) int requestedMs) {
         Simulation simulation = new Simulation();
@@ -120,14 +120,14 @@
 
     /** A stream that arrived early may be cut off; any other request never is. */
     @Property(tries = 500)
-    void onlyEarlyStreamsAreCutOff(
+    void onlyEarlyStreamsAreInterrupted(
             @ForAll List<@From("arrivals") Arrival> arrivals,
             @ForAll @IntRange(max = MAX_DELAY_MS) int requestedMs) {
         Simulation simulation = new Simulation();
         simulation.run(arrivals, requestedMs);
-        for (Arrival broken : simulation.cutOff) {
-            assertTrue(broken.stream(), broken + " had a timeout");
-            assertTrue(broken.atMs() <= TOLERATED_MS, broken + " arrived late");
+        for (Arrival interrupted : simulation.interruptedRequests) {
+            assertTrue(interrupted.stream(), interrupted + " had a timeout");
+            assertTrue(interrupted.atMs() <= TOLERATED_MS, interrupted + " arrived late");
         }
     }
 
@@ -136,6 +136,6 @@
     void requestWhoseTimeoutMeetsTheEndIsRefused() {
         Simulation simulation = new Simulation();
         simulation.run(List.of(new Arrival(7_297, false, 203, 1, 203)), 0);
-        assertEquals(List.of(), simulation.cutOff);
+        assertEquals(List.of(), simulation.interruptedRequests);
     }
 }
--- a/masticweir/src/test/java/org/masticweir/relay/SimulatedFleet.java
+++ b/masticweir/src/test/java/org/masticweir/relay/SimulatedFleet.java
@@ -58,7 +58,7 @@
     /** Whether the link from the first router to the second is cut. */
     BiPredicate<RouterId, RouterId> isCut = (from, to) -> false;
 
-    long messages;
+    long messageCount;
 
     private final double bytesPerMs;
 
@@ -86,7 +86,7 @@
             routers.put(id, new Router(at));
         }
         for (Router router : routers.values()) {
-            routers.values().forEach(other -> router.knownRouters.add(other.at));
+            routers.values().forEach(other -> router.knownRouters.add(other.info));
         }
         routers.values().forEach(Router::start);
     }
@@ -100,7 +100,9 @@
     }
 
     List<Router> domain(String domain) {
-        return routers.values().stream().filter(r -> r.at.domain().value().equals(domain)).toList();
+        return routers.values().stream()
+                .filter(r -> r.info.domain().value().equals(domain))
+                .toList();
     }
 
     /** Returns the routers of {@code domain} in the order of their ranks for reading the store. */
@@ -111,7 +113,7 @@
     }
 
     private static long weight(Router router) {
-        return Rendezvous.weight(ReadingShare.DUTY, router.at.id());
+        return Rendezvous.weight(ReadingShare.DUTY, router.info.id());
     }
 
     /** Returns the total length of the messages that all routers have sent to peers, in bytes. */
@@ -146,10 +148,10 @@
 
     /** One router: its view of the deployment, its role in reading, and its messages. */
     final class Router implements PeerSender {
-        final RouterInfo at;
+        final RouterInfo info;
         final KnownRouters knownRouters;
         final DeploymentState deployment;
-        boolean running = true;
+        boolean isRunning = true;
         StoreFault fault = StoreFault.NONE;
         RelayView view = RelayView.empty();
         private final StoreReading reading;
@@ -160,7 +162,7 @@
         private final SimulatedUplink uplink = new SimulatedUplink(scheduler, bytesPerMs);
 
         Router(RouterInfo at) {
-            this.at = at;
+            this.info = at;
             knownRouters = new KnownRouters(at);
             deployment =
                     new DeploymentState(
@@ -187,7 +189,7 @@
                             DeploymentStateTest.TABLE,
                             pace,
                             (rows, since, dueMs) ->
-                                    sharing.serversChanged(
+                                    sharing.onServerUpdates(
                                             deployment.applyServerRows(rows, since, dueMs)));
             catalog =
                     follower(
@@ -195,7 +197,7 @@
                             FeedPace.of(WAIT_MS, GRACE_MS, 50),
                             (rows, since, dueMs) -> {
                                 if (deployment.applyCatalogRows(rows)) {
-                                    sharing.catalogChanged();
+                                    sharing.onCatalogChange();
                                 }
                             });
         }
@@ -216,10 +218,10 @@
         }
 
         void start() {
-            scheduler.execute(() -> reading.follow(catalog, servers));
-            every(TICK_MS, this::tick);
-            every(StoreSharing.STATUS_INTERVAL_MS, sharing::pollPeers);
-            every(ReadingShare.WORD_MS, sharing::reportToOwnDomain);
+            scheduler.execute(() -> reading.setFollowers(catalog, servers));
+            scheduleEvery(TICK_MS, this::tick);
+            scheduleEvery(StoreSharing.STATUS_INTERVAL_MS, sharing::pollPeers);
+            scheduleEvery(ReadingShare.WORD_MS, sharing::reportToOwnDomain);
         }
 
         private void tick() {
@@ -227,26 +229,26 @@
             reading.tick();
         }
 
-        private void every(long ms, Runnable step) {
+        private void scheduleEvery(long ms, Runnable step) {
             scheduler.at(
                     nowMs() + ms,
                     () -> {
-                        if (running) {
+                        if (isRunning) {
                             step.run();
                         }
-                        every(ms, step);
+                        scheduleEvery(ms, step);
                     });
         }
 
         /** Stops the router but closes no link, as at a loss of power. */
         void stopSilently() {
-            running = false;
+            isRunning = false;
         }
 
         /** Stops the router and closes the links to it. */
         void stopAndCloseLinks() {
-            running = false;
-            routers.values().forEach(r -> r.reading.recordLinkClosed(at.id()));
+            isRunning = false;
+            routers.values().forEach(r -> r.reading.recordLinkClosed(info.id()));
         }
 
         ReadingRole role() {
@@ -286,8 +288,9 @@
             return answer;
         }
 
-        private void receive(RouterId from, PeerMessage message, Consumer<PeerMessage> back) {
-            Reply reply = new FakeReply(back);
+        private void receive(
+                RouterId from, PeerMessage message, Consumer<PeerMessage> replyConsumer) {
+            Reply reply = new FakeReply(replyConsumer);
             if (message instanceof StoreStatus status) {
                 sharing.handleStatus(from, status, reply);
             } else if (message instanceof ServerUpdates updates) {
@@ -304,34 +307,35 @@
         return MasticweirException.notRun(ErrorCode.DEADLINE_EXCEEDED, "no reply");
     }
 
-    private void deliver(Router from, Router to, PeerMessage message, Consumer<PeerMessage> back) {
-        messages++;
-        transmit(from, to, message, () -> to.receive(from.at.id(), message, back));
+    private void deliver(
+            Router from, Router to, PeerMessage message, Consumer<PeerMessage> replyConsumer) {
+        messageCount++;
+        transmit(from, to, message, () -> to.receive(from.info.id(), message, replyConsumer));
     }
 
     private void transmit(Router from, Router to, PeerMessage message, Runnable step) {
         long bytes = MessageSize.bytesOf(message);
-        if (isCut.test(from.at.id(), to.at.id()) || bytes > MAX_FRAME_BYTES) {
+        if (isCut.test(from.info.id(), to.info.id()) || bytes > MAX_FRAME_BYTES) {
             return;
         }
-        from.uplink.send(to.at.id(), bytes, () -> arriveLater(to, step));
+        from.uplink.send(to.info.id(), bytes, () -> arriveLater(to, step));
     }
 
     private void arriveLater(Router to, Runnable step) {
         scheduler.at(
                 nowMs() + LINK_MS,
                 () -> {
-                    if (to.running) {
+                    if (to.isRunning) {
                         step.run();
                     }
                 });
     }
 
     /** Passes the reply to a consumer. */
-    private record FakeReply(Consumer<PeerMessage> back) implements Reply {
+    private record FakeReply(Consumer<PeerMessage> replyConsumer) implements Reply {
         @Override
         public boolean send(PeerMessage message) {
-            back.accept(message);
+            replyConsumer.accept(message);
             return true;
         }
 
--- a/masticweir/src/test/java/org/masticweir/relay/SimulatedFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/SimulatedFleetTest.java
@@ -37,7 +37,7 @@
     }
 
     private List<Router> running() {
-        return all().stream().filter(r -> r.running).toList();
+        return all().stream().filter(r -> r.isRunning).toList();
     }
 
     private long readers(String domain) {
@@ -100,11 +100,11 @@
         void messageRateWithoutChangesIsBounded(int routers, int domains, long most) {
             SimulatedFleet sized = new SimulatedFleet(routers, domains);
             sized.runFor(SETTLED_MS);
-            long messages = sized.messages;
+            long messages = sized.messageCount;
             long calls = sized.store.calls;
             sized.runFor(MEASURED_MS);
             double seconds = MEASURED_MS / 1_000.0;
-            double aRouter = (sized.messages - messages) / seconds / routers;
+            double aRouter = (sized.messageCount - messages) / seconds / routers;
             double all = (sized.store.calls - calls) / seconds;
             System.out.printf(
                     "store fleet: %d routers in %d domains, %.1f messages out a router and second,"
@@ -133,15 +133,15 @@
         }
 
         @Test
-        void bothLosePowerWhileTheOtherDomainsAreCutOff() {
+        void bothLosePowerWhileTheOtherDomainsArePartitioned() {
             List<Router> ranked = ranked();
-            fleet.isCut = (from, to) -> isOf(ranked, from) != isOf(ranked, to);
+            fleet.isCut = (from, to) -> includes(ranked, from) != includes(ranked, to);
             ranked.subList(0, 2).forEach(Router::stopSilently);
             assertMoveReachesAll(running());
         }
 
-        private boolean isOf(List<Router> some, RouterId id) {
-            return some.stream().anyMatch(r -> r.at.id().equals(id));
+        private boolean includes(List<Router> some, RouterId id) {
+            return some.stream().anyMatch(r -> r.info.id().equals(id));
         }
 
         @Test
@@ -178,9 +178,9 @@
         }
 
         @Test
-        void bothAreCutOffFromTheirDomainButNotFromTheStore() {
+        void bothArePartitionedFromTheirDomainButNotFromTheStore() {
             List<Router> cutOff = ranked().subList(0, 2);
-            fleet.isCut = (from, to) -> isOf(cutOff, from);
+            fleet.isCut = (from, to) -> includes(cutOff, from);
             assertMoveReachesAll(all());
         }
 
@@ -190,7 +190,7 @@
             first.stopSilently();
             fleet.store.put("e1", "82");
             fleet.runFor(BOUND_MS);
-            first.running = true;
+            first.isRunning = true;
             fleet.store.put("e1", "83");
             assertInTime(fleet.timeUntilAllSee(running(), "83", BOUND_MS));
             fleet.runFor(SETTLED_MS);
@@ -247,7 +247,7 @@
             fleet.runFor(SETTLED_MS);
             List<Router> ranked = fleet.byRank("d0");
             Router last = ranked.get(ranked.size() - 1);
-            fleet.isCut = (from, to) -> to.equals(last.at.id()) || from.equals(last.at.id());
+            fleet.isCut = (from, to) -> to.equals(last.info.id()) || from.equals(last.info.id());
             assertMoveReachesAll(all());
         }
     }
--- a/masticweir/src/test/java/org/masticweir/relay/SimulatedUplink.java
+++ b/masticweir/src/test/java/org/masticweir/relay/SimulatedUplink.java
@@ -20,7 +20,7 @@
     private final double bytesPerMs;
     private final Map<RouterId, Queue<Transfer>> queues = new LinkedHashMap<>();
     private double freeAtMs;
-    private boolean sending;
+    private boolean isSending;
     private long sentBytes;
 
     SimulatedUplink(ManualScheduler scheduler, double bytesPerMs) {
@@ -48,8 +48,8 @@
     void send(RouterId peer, long bytes, Runnable arrival) {
         sentBytes += bytes;
         queues.computeIfAbsent(peer, p -> new ArrayDeque<>()).add(new Transfer(bytes, arrival));
-        if (!sending) {
-            sending = true;
+        if (!isSending) {
+            isSending = true;
             freeAtMs = Math.max(freeAtMs, scheduler.clock().nowMs());
             sendChunk();
         }
@@ -75,8 +75,8 @@
         if (transfer.remainingBytes == 0) {
             transfer.arrival.run();
         }
-        sending = !queues.isEmpty();
-        if (sending) {
+        isSending = !queues.isEmpty();
+        if (isSending) {
             sendChunk();
         }
     }
--- a/masticweir/src/test/java/org/masticweir/relay/UpdateProgressTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/UpdateProgressTest.java
@@ -13,8 +13,8 @@
     @Test
     void updatesAreIncompleteBeforeTheFirstFullList() {
         assertFalse(progress.recordUpdates(5, 9, 8));
-        assertEquals(UpdateProgress.START, progress.completeTo());
-        assertTrue(progress.recordUpdates(UpdateProgress.START, 9, 8));
+        assertEquals(UpdateProgress.BEFORE_FIRST_UPDATE, progress.completeTo());
+        assertTrue(progress.recordUpdates(UpdateProgress.BEFORE_FIRST_UPDATE, 9, 8));
         assertEquals(9, progress.completeTo());
     }
 
@@ -24,7 +24,7 @@
         assertTrue(progress.recordUpdates(8, 12, 12));
         assertTrue(progress.recordUpdates(12, 20, 12));
         assertEquals(20, progress.completeTo());
-        assertEquals(12, progress.newest());
+        assertEquals(12, progress.newestUpdate());
     }
 
     @Test
@@ -33,7 +33,7 @@
         assertFalse(progress.recordUpdates(12, 14, 14));
         assertEquals(10, progress.completeTo());
         assertTrue(progress.recordUpdates(10, 14, 14));
-        assertEquals(14, progress.newest());
+        assertEquals(14, progress.newestUpdate());
     }
 
     @Test
@@ -43,13 +43,13 @@
         assertTrue(progress.recordUpdates(8, 12, 12));
         assertTrue(progress.recordUpdates(3, 5, 5));
         assertEquals(12, progress.completeTo());
-        assertEquals(12, progress.newest());
+        assertEquals(12, progress.newestUpdate());
     }
 
     @Test
     void newestUpdateIsNotBeyondAGap() {
         progress.recordReading(10, 8);
         progress.recordUpdates(12, 14, 14);
-        assertEquals(10, progress.newest());
+        assertEquals(10, progress.newestUpdate());
     }
 }
