--- a/masticweir/src/main/java/org/masticweir/relay/CatalogReplies.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CatalogReplies.java
@@ -14,8 +14,9 @@
  *
  * <p>Reduces load: all routers of a domain request a new catalog at the same moment from the few
  * routers that read the store, over links of limited bandwidth. A router that holds one of the
- * recent versions receives the difference; any other receives the full text as an edit of the empty
- * text. Each edit is compressed once and reused for all requests.
+ * recent versions receives the edit from that version to the newest one. Any other router receives
+ * the full text, as an edit of the empty text. Each edit is compressed once and reused for all
+ * requests.
  */
 final class CatalogReplies {
     private static final long NO_VERSION = 0;
--- a/masticweir/src/main/java/org/masticweir/relay/CatalogSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/CatalogSharing.java
@@ -46,8 +46,8 @@
     private boolean needsFullText;
 
     /**
-     * Newest version whose text was received and could not be put in force; it is not requested
-     * again.
+     * Newest version whose text was received and could not be put in force. This version is not
+     * requested again.
      */
     private long rejectedVersion;
 
@@ -77,14 +77,14 @@
         onNewerVersion = checkNotNull(listener, "listener");
     }
 
-    /** Stores the catalog that has come into force, to answer requests of peers. */
+    /** Stores the catalog in force, to answer requests of peers. */
     void recordCatalog() {
         deployment.catalogText().ifPresent(catalogReplies::add);
     }
 
     /**
-     * Requests a version that {@code peer} has reported to hold, if it is newer than the one in
-     * force.
+     * Requests catalog {@code version} from {@code peer}, which reported that version, if it is
+     * newer than the catalog in force.
      */
     void handleVersion(RouterId peer, long version) {
         deployment.recordReportedVersion(version);
@@ -122,8 +122,8 @@
     }
 
     /**
-     * Returns the catalog in a reply; empty if the peer has no newer one, or its edit does not
-     * apply.
+     * Returns the catalog in a reply; empty if the peer has no newer catalog, or if the edit in the
+     * reply does not apply to {@code base}.
      *
      * @param base the text in force when the request was sent
      */
@@ -163,7 +163,9 @@
                 unansweredRequests.getCount());
     }
 
-    /** Replies with the catalog if it is newer than the version that the peer holds. */
+    /**
+     * Replies to a peer with the catalog in force if that is newer than the version in the request.
+     */
     void handleRequest(CatalogRequest request, Reply reply) {
         CatalogReply catalog = catalogReplies.replyTo(request);
         repliesSent.inc();
--- a/masticweir/src/main/java/org/masticweir/relay/DeploymentState.java
+++ b/masticweir/src/main/java/org/masticweir/relay/DeploymentState.java
@@ -24,17 +24,17 @@
 /**
  * This router's view of its deployment, from the store and from peers; owned by the control thread.
  *
- * <p>The newest version of the catalog and the newest update of each server apply, whichever source
- * they come from. An older version or update never replaces a newer one.
+ * <p>The newest version of the catalog and the newest update of each server apply, from the store
+ * or from a peer. An older version or update never replaces a newer one.
  */
 final class DeploymentState {
     private static final Logger LOG = LogManager.getLogger(DeploymentState.class);
 
     /**
      * Longest time since the last confirmation of the catalog for which it counts as fresh, in ms;
-     * a router rejects requests for unknown names only while its catalog is fresh. Longer than the
-     * store's long polls, and shorter than the time that a change may take to reach a router
-     * without a connection to the store.
+     * a router rejects requests for unknown names only while its catalog is fresh. This time is
+     * longer than the store's long polls, and shorter than the longest time in which a change
+     * reaches a router without a connection to the store.
      */
     static final long CATALOG_FRESHNESS_MS = 6_000;
 
@@ -54,7 +54,7 @@
     /**
      * Result of applying updates from a peer.
      *
-     * @param isComplete whether no earlier update is missing
+     * @param isComplete whether this router has also received all earlier updates
      * @param hasChanges whether the view of the deployment changed
      */
     record UpdateResult(boolean isComplete, boolean hasChanges) {}
@@ -122,7 +122,7 @@
     }
 
     /**
-     * Returns the time since a newer version was first reported by a peer, in ms; 0 if none is
+     * Returns the time since a peer first reported a newer version, in ms; 0 if no newer version is
      * awaited.
      */
     long catalogAwaitedMs() {
@@ -139,7 +139,10 @@
         return catalog.map(Catalog::version).orElse(0L);
     }
 
-    /** Records that the store, or a peer that receives its answers, has no newer catalog. */
+    /**
+     * Records a confirmation that the catalog in force is the newest, from the store or from a peer
+     * in contact with the store.
+     */
     void recordConfirmation() {
         lastConfirmedMs = clock.nowMs();
     }
@@ -274,7 +277,7 @@
         return newerUpdates;
     }
 
-    /** Returns a request for the updates that are missing here. */
+    /** Returns a request for the updates that this router has not received. */
     ServersRequest updatesRequest() {
         return new ServersRequest(updateProgress.completeTo(), serverBook.digest());
     }
@@ -299,8 +302,8 @@
     }
 
     /**
-     * Omits servers whose removal is pending: a receiver removes servers that are not in the list
-     * after the same delay.
+     * Returns updates for all servers except those whose removal is pending. The receiver removes
+     * unlisted servers after the same delay.
      */
     private List<ServerUpdate> presentServers() {
         List<ServerUpdate> all = new ArrayList<>();
@@ -326,8 +329,8 @@
     }
 
     /**
-     * A removal that is not due yet is not sent as an update. Peers that request updates receive it
-     * with its delay.
+     * Removes a server at {@code dueMs}; adds an update for peers only if the removal is due now.
+     * Peers that request updates receive a pending removal with its remaining delay.
      */
     private void removeServer(EngineId id, long revision, long dueMs, List<ServerUpdate> updates) {
         if (serverBook.remove(id, revision, clock.nowMs(), dueMs)) {
@@ -378,7 +381,10 @@
         }
     }
 
-    /** The catalog is not fresh while a newer version is known: rejections could be wrong. */
+    /**
+     * Returns whether the catalog was confirmed recently and no newer version is awaited. With an
+     * outdated catalog, requests for new names would be rejected.
+     */
     private boolean isCatalogFresh() {
         long now = clock.nowMs();
         return now - lastConfirmedMs <= CATALOG_FRESHNESS_MS
--- a/masticweir/src/main/java/org/masticweir/relay/KnownRouters.java
+++ b/masticweir/src/main/java/org/masticweir/relay/KnownRouters.java
@@ -26,7 +26,10 @@
  * them within it.
  */
 final class KnownRouters {
-    /** Gateways of a domain: with two of them, one may be lost at any moment. */
+    /**
+     * Number of gateways of a domain; with two, the domain still has a gateway after the loss of
+     * one.
+     */
     private static final int GATEWAYS_PER_DOMAIN = 2;
 
     /** Rounds in which each remaining router of the other domains is polled once. */
@@ -36,7 +39,7 @@
     private final Map<RouterId, RouterInfo> routers = new HashMap<>();
     private Optional<Groups> groups = Optional.empty();
 
-    /** The groups of the routers known now. */
+    /** Groups of the routers that have been added so far. */
     private record Groups(
             ImmutableSet<RouterId> ownDomain,
             ImmutableSet<RouterId> storeRecipients,
@@ -87,7 +90,7 @@
         return targets.build();
     }
 
-    /** Computed on demand: at startup, a router learns of all others one by one. */
+    /** Computes the groups on demand, because at startup the other routers are added one by one. */
     private Groups groups() {
         if (groups.isEmpty()) {
             groups = Optional.of(group());
--- a/masticweir/src/main/java/org/masticweir/relay/LimitExchange.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LimitExchange.java
@@ -46,7 +46,7 @@
         links.listen(this);
     }
 
-    /** Adds a router, whether a link to it is up or not. */
+    /** Adds a router, regardless of whether the link to that router is up. */
     void addRouter(RouterId router) {
         permits.addRouter(router);
     }
--- a/masticweir/src/main/java/org/masticweir/relay/LoadSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/LoadSharing.java
@@ -25,9 +25,9 @@
 /**
  * Exchanges with peers the load on engines and the failures of servers; on the traffic thread.
  *
- * <p>Prevents overload of an engine: each router alone observes only some of the prompts in
- * prefill, and several routers would choose the same engine at the same moment. Changes within a
- * few milliseconds are sent together.
+ * <p>Prevents overload of an engine: without these reports, each router would count only the
+ * prompts that it sent itself, and several routers would choose the same engine at the same moment.
+ * Changes within a few milliseconds are sent together.
  */
 final class LoadSharing implements PeerExchange.LoadListener {
     /**
@@ -48,7 +48,7 @@
     /**
      * Creates an instance that sends nothing until something changes.
      *
-     * @param serverLookup returns a listed server
+     * @param serverLookup returns the server of an incarnation; empty if it is not listed
      * @param peerIds readable on the traffic thread
      * @param sender may be called from the traffic thread
      */
--- a/masticweir/src/main/java/org/masticweir/relay/PeerDirectory.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PeerDirectory.java
@@ -24,9 +24,9 @@
  * Discovery of routers: each writes its address to the store, then reads the addresses of the
  * others.
  *
- * <p>Two routers that start at the same moment still find each other: the one that reads last finds
- * the other and sends it an introduction. Started on the control thread; the list of routers can be
- * read on any thread.
+ * <p>Two routers that start at the same moment still find each other: the router that reads last
+ * finds the other router and sends an introduction to it. Started on the control thread; the list
+ * of routers can be read on any thread.
  */
 final class PeerDirectory {
     private static final Logger LOG = LogManager.getLogger(PeerDirectory.class);
--- a/masticweir/src/main/java/org/masticweir/relay/PeerExchange.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PeerExchange.java
@@ -34,8 +34,8 @@
  * control thread.
  *
  * <p>Reduces load at startup: all routers start at the same time, each opens a link to every other,
- * and all callers reconnect meanwhile. Routers of the own domain are connected at once, the others
- * one after the other.
+ * and all callers reconnect meanwhile. Routers of the own domain are connected at once, routers of
+ * other domains one after the other.
  */
 final class PeerExchange {
     private static final Logger LOG = LogManager.getLogger(PeerExchange.class);
--- a/masticweir/src/main/java/org/masticweir/relay/PlatformProtocol.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PlatformProtocol.java
@@ -22,7 +22,7 @@
     /** Returns the header fields of a request to a server. */
     HttpHeaders headersToServer(HttpHeaders fromCaller, SendMetadata send);
 
-    /** Parses the head of a server's answer. */
+    /** Parses the status and the header fields of a server's answer. */
     AnswerMetadata parseAnswerMetadata(HttpHead head);
 
     /** Returns the header fields of an answer to a caller. */
@@ -40,7 +40,10 @@
      */
     HttpCall healthProbeCall(BackendServer server, String path);
 
-    /** Returns whether a status shows that another server than the intended one answered. */
+    /**
+     * Returns whether a status shows that the answer came from a server other than the intended
+     * one.
+     */
     boolean isWrongServerStatus(int status);
 
     /**
@@ -61,7 +64,7 @@
     ImmutableSet<PromptId> parsePrompts(String body);
 
     /**
-     * Returns the path of the balancer's readiness check, which asks whether this router accepts
+     * Returns the path of the balancer's readiness check, which succeeds while this router accepts
      * connections.
      */
     String readyPath();
--- a/masticweir/src/main/java/org/masticweir/relay/RelayMessages.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayMessages.java
@@ -66,7 +66,7 @@
             implements PeerMessage {}
 
     /**
-     * Requests the catalog if the peer's version is newer.
+     * Requests the catalog from a peer whose version is newer than the sender's.
      *
      * @param newerThan the version that the sender holds
      * @param acceptsEdits whether the sender can apply edits, which older routers cannot
@@ -120,8 +120,8 @@
      * ServerUpdates}.
      *
      * @param completeTo revision up to which the sender has received all updates
-     * @param digest of the sender's updates, so that a full list is not sent if the receiver has
-     *     the same
+     * @param digest digest of the servers that the sender has received; a receiver with the same
+     *     digest sends no full list
      */
     record ServersRequest(long completeTo, long digest) implements PeerMessage {}
 
--- a/masticweir/src/main/java/org/masticweir/relay/RelayPorts.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayPorts.java
@@ -20,10 +20,12 @@
 
 /** The listening ports for callers, for the balancer and for the metrics page; thread-safe. */
 final class RelayPorts implements AutoCloseable {
-    /** Time after which an idle connection is closed, in ms; callers close theirs earlier. */
+    /**
+     * Time after which an idle connection is closed, in ms; callers close idle connections earlier.
+     */
     private static final int IDLE_TIMEOUT_MS = 60_000;
 
-    /** Timeout for reading the head of a request, in ms. */
+    /** Timeout for reading the headers of a request, in ms. */
     private static final int HEADERS_TIMEOUT_MS = 10_000;
 
     private static final int MAX_HEADER_BYTES = 64 << 10;
@@ -69,7 +71,7 @@
     /**
      * Opens the ports of the balancer and of the metrics page.
      *
-     * @throws MasticweirException if one can't be opened
+     * @throws MasticweirException if a port can't be opened
      */
     void openManagement() {
         start(management);
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
@@ -138,8 +138,7 @@
         this.settings = checkNotNull(settings, "settings");
         this.clock = checkNotNull(clock, "clock");
         this.platform = checkNotNull(platform, "platform");
-        retryBudgets =
-                ServiceRetryBudgets.of(settings.retriesPerRequest(), settings.retryAllowance());
+        retryBudgets = ServiceRetryBudgets.of(settings.retryRatio(), settings.retryAllowance());
         worker = newWorker();
         thread = worker.getIoThread();
         calls = HttpCaller.create(worker, HttpCallerLimits.defaults());
@@ -438,8 +437,7 @@
      */
     public void reload(RelaySettings changed) {
         LogSetup.level(Level.valueOf(changed.logLevel().name()));
-        thread.execute(
-                () -> retryBudgets.update(changed.retriesPerRequest(), changed.retryAllowance()));
+        thread.execute(() -> retryBudgets.update(changed.retryRatio(), changed.retryAllowance()));
         LOG.info("router: settings reloaded, log level {}", changed.logLevel());
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/RelaySettings.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelaySettings.java
@@ -29,10 +29,10 @@
  * @param peers address that other routers connect to
  * @param metrics address of the metrics page
  * @param store address of the platform's store
- * @param retriesPerRequest retries allowed for each request, over all routers
+ * @param retryRatio retries allowed for each request, over all routers
  * @param retryAllowance additional retries allowed in ten seconds, over all routers; the platform
- *     scales it with the deployment, so it may have a fraction
- * @param quarantineMs longest time for which a request that ends its servers is not sent
+ *     scales it with the deployment, so the value can have a fractional part
+ * @param quarantineMs longest quarantine of a request content that ends its servers
  * @param graceMs time between the shutdown request and the end of the process
  */
 public record RelaySettings(
@@ -43,7 +43,7 @@
         InetSocketAddress peers,
         InetSocketAddress metrics,
         InetSocketAddress store,
-        double retriesPerRequest,
+        double retryRatio,
         double retryAllowance,
         long quarantineMs,
         long graceMs,
@@ -52,7 +52,7 @@
     public static final int MAX_CHARS = 65_536;
 
     private static final int MAX_SECTIONS = 16;
-    private static final double MAX_RETRIES_PER_REQUEST = 10;
+    private static final double MAX_RETRY_RATIO = 10;
     private static final double MAX_ALLOWANCE = 1_000_000;
     private static final int MAX_GRACE_S = 600;
     private static final int MIN_QUARANTINE_S = 60;
@@ -154,7 +154,7 @@
                     peers.required("address", ADDRESS),
                     section("metrics", "address").required("address", ADDRESS),
                     section("store", "address").required("address", ADDRESS),
-                    retries.required("share", ValueRule.decimal(0, MAX_RETRIES_PER_REQUEST)),
+                    retries.required("share", ValueRule.decimal(0, MAX_RETRY_RATIO)),
                     retries.required("allowance", ValueRule.decimal(0, MAX_ALLOWANCE)),
                     Math.round(quarantineS * MS_PER_SECOND),
                     Math.round(graceS * MS_PER_SECOND),
--- a/masticweir/src/main/java/org/masticweir/relay/RelayShutdown.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayShutdown.java
@@ -15,7 +15,7 @@
  *
  * <p>The balancer's readiness check fails first. The balancer still sends requests for a few
  * seconds, and the router serves every request that can end in time. Shortly before the end, each
- * remaining request is answered with an error; a stream that has begun is cut off.
+ * remaining request is answered with an error; a stream that has begun is interrupted.
  */
 final class RelayShutdown {
     private static final Logger LOG = LogManager.getLogger(RelayShutdown.class);
@@ -23,7 +23,10 @@
     /** Part of the grace period reserved for closing, in ms. */
     private static final long CLOSE_RESERVE_MS = 200;
 
-    /** Time before that for a late thread to write the last answers, in ms. */
+    /**
+     * Part of the grace period, before {@link #CLOSE_RESERVE_MS}, in which a late thread can still
+     * write the last answers, in ms.
+     */
     private static final long LAST_ANSWERS_MS = 300;
 
     /**
@@ -111,8 +114,8 @@
     private void checkCompletion(long sinceMs) {
         int remaining = admission.inFlightCount();
         if (remaining == 0) {
-            // Closed before the last count: a request that arrives in between is refused, not cut
-            // off.
+            // Admission ends before the last count, so a request that arrives in between is refused
+            // and not interrupted.
             admission.close();
             remaining = admission.inFlightCount();
         }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayView.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayView.java
@@ -16,8 +16,8 @@
  * Snapshot of the deployment that the traffic thread uses; immutable, published by the control
  * thread.
  *
- * @param catalog empty until one was received
- * @param isCatalogFresh whether the catalog is fresh enough to report that something does not exist
+ * @param catalog empty before the first catalog is received
+ * @param isCatalogFresh whether the catalog is fresh enough to reject requests for unknown names
  */
 record RelayView(
         Optional<Catalog> catalog,
--- a/masticweir/src/main/java/org/masticweir/relay/StoreReading.java
+++ b/masticweir/src/main/java/org/masticweir/relay/StoreReading.java
@@ -66,7 +66,7 @@
         servers.told(revision, readingShare.wasLost(clock.nowMs()));
     }
 
-    /** Returns the store contact to report to peers: the worst among the followers. */
+    /** Returns the store contact to report to peers: the worst contact of all followers. */
     StoreContact contact() {
         StoreContact worst = StoreContact.HEARD;
         for (TableFollower follower : followers) {
--- a/masticweir/src/main/java/org/masticweir/relay/StoreSharing.java
+++ b/masticweir/src/main/java/org/masticweir/relay/StoreSharing.java
@@ -24,10 +24,10 @@
  * Distributes changes of the store among routers; owned by the control thread.
  *
  * <p>The routers that read the store notify their own domain of newer catalogs and of server
- * updates, and also the gateways of the other domains, which forward whatever is new to their own
- * domain. A domain therefore receives a change even while the store refuses all its readers. Each
+ * updates, and also the gateways of the other domains, which forward new changes to their own
+ * domain. A domain therefore receives changes even while the store refuses all its readers. Each
  * periodic status message reports how much of the store's content its sender has received; a router
- * that lacks something requests it.
+ * requests the content that it has not received.
  */
 final class StoreSharing {
     private static final Logger LOG = LogManager.getLogger(StoreSharing.class);
--- a/masticweir/src/main/java/org/masticweir/relay/UnreadableRows.java
+++ b/masticweir/src/main/java/org/masticweir/relay/UnreadableRows.java
@@ -27,7 +27,8 @@
     private static final int MAX_ROWS = 1_024;
 
     /**
-     * Maximum length of a logged reason, in characters: it may quote the row, which can be long.
+     * Maximum length of a logged reason, in characters: the reason can quote the row, which can be
+     * long.
      */
     private static final int MAX_REASON_CHARS = 200;
 
--- a/masticweir/src/main/java/org/masticweir/relay/UpdateProgress.java
+++ b/masticweir/src/main/java/org/masticweir/relay/UpdateProgress.java
@@ -6,10 +6,13 @@
  *
  * <p>Prevents sending requests to a leaving server for good after a message between routers was
  * lost or reordered. Each message contains the revision after which its updates follow; if that
- * lies beyond the revision tracked here, updates are missing and are requested.
+ * revision is greater than the tracked one, updates are missing and are requested.
  */
 final class UpdateProgress {
-    /** Revision before all updates: a message that starts at it lists all present servers. */
+    /**
+     * Revision before all updates; a message that starts at this revision lists all present
+     * servers.
+     */
     static final long BEFORE_FIRST_UPDATE = -1;
 
     private long completeTo = BEFORE_FIRST_UPDATE;
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogDistributionTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogDistributionTest.java
@@ -31,7 +31,7 @@
 
     /**
      * Returns a catalog in the format that routers receive: one entry for each route, with random
-     * names, the version before the routes and the limits after them.
+     * names. The version precedes the routes, and the limits follow the routes.
      */
     private static String catalog(long version, int routes) {
         Random random = new Random(39);
@@ -194,7 +194,7 @@
     }
 
     /**
-     * A router that was cut off during several changes holds a version that its peers no longer
+     * A router that was partitioned during several changes holds a version that its peers no longer
      * store.
      */
     @Nested
--- a/masticweir/src/test/java/org/masticweir/relay/CatalogSchedulePropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/CatalogSchedulePropertyTest.java
@@ -14,8 +14,8 @@
 import org.masticweir.relay.SimulatedFleet.StoreFault;
 
 /**
- * Distribution of catalog versions under random schedules of faults: the store is late, silent or
- * refuses routers, links are cut, readers are killed.
+ * Distribution of catalog versions under random schedules of faults: the store answers late, does
+ * not answer or refuses routers, links are partitioned, and readers are killed.
  */
 class CatalogSchedulePropertyTest {
     private static final int ROUTERS = 24;
--- a/masticweir/src/test/java/org/masticweir/relay/RelaySettingsTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/RelaySettingsTest.java
@@ -42,7 +42,7 @@
         @ParameterizedTest
         @CsvSource({"0, 0", "1, 1", "0.8, 0.8", "10, 10"})
         void shareMayHaveAFraction(String text, double expected) {
-            assertEquals(expected, parse(text, "150", "8").retriesPerRequest());
+            assertEquals(expected, parse(text, "150", "8").retryRatio());
         }
 
         @ParameterizedTest
--- a/masticweir/src/test/java/org/masticweir/relay/RelayShutdownTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/RelayShutdownTest.java
@@ -13,7 +13,7 @@
 class RelayShutdownTest {
     private static final long GRACE_MS = 8_000;
 
-    /** Streams may be cut off in the last sixth of the grace period, but not earlier. */
+    /** Streams can be interrupted in the last sixth of the grace period, but not earlier. */
     private static final long LAST_SIXTH_MS = GRACE_MS - GRACE_MS / 6;
 
     private final ManualScheduler control = new ManualScheduler();
--- a/masticweir/src/test/java/org/masticweir/relay/ShutdownSchedulePropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/ShutdownSchedulePropertyTest.java
@@ -24,9 +24,7 @@
 class ShutdownSchedulePropertyTest {
     private static final long GRACE_MS = 8_000;
 
-    /**
-     * Time after the shutdown request until which the platform tolerates a stream that is cut off.
-     */
+    /** Time after the shutdown request until which the platform tolerates an interrupted stream. */
     private static final long TOLERATED_MS = 3_000;
 
     /**
@@ -118,7 +116,7 @@
         assertEquals(Set.of(), simulation.inFlight);
     }
 
-    /** A stream that arrived early may be cut off; any other request never is. */
+    /** A stream that arrived early may be interrupted. No other request is interrupted. */
     @Property(tries = 500)
     void onlyEarlyStreamsAreInterrupted(
             @ForAll List<@From("arrivals") Arrival> arrivals,
@@ -131,7 +129,7 @@
         }
     }
 
-    /** A booking was cut off in the millisecond in which its timeout would have expired. */
+    /** A booking was interrupted in the millisecond in which its timeout would have expired. */
     @Test
     void requestWhoseTimeoutMeetsTheEndIsRefused() {
         Simulation simulation = new Simulation();
--- a/masticweir/src/test/java/org/masticweir/relay/SimulatedFleet.java
+++ b/masticweir/src/test/java/org/masticweir/relay/SimulatedFleet.java
@@ -55,7 +55,7 @@
     final FakeStore store = new FakeStore(scheduler);
     final Map<RouterId, Router> routers = new LinkedHashMap<>();
 
-    /** Whether the link from the first router to the second is cut. */
+    /** Whether the link from the first router to the second is partitioned. */
     BiPredicate<RouterId, RouterId> isCut = (from, to) -> false;
 
     long messageCount;
--- a/masticweir/src/test/java/org/masticweir/relay/SimulatedFleetTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/SimulatedFleetTest.java
@@ -253,7 +253,8 @@
     }
 
     /**
-     * Messages between routers are lost; a server that has left would receive requests for good.
+     * Messages between routers are lost; without a later correction, requests would be sent to a
+     * departed server forever.
      */
     @Nested
     class LostMessages {
