--- a/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
@@ -75,8 +75,8 @@
     private static final FeedPace CATALOG_PACE = FeedPace.of(3_000, 700, 50);
 
     /**
-     * A leaving server receives no new requests within two seconds; a series of changes costs one
-     * call.
+     * A leaving server must receive no new requests after two seconds; within this limit, one call
+     * returns a series of changes.
      */
     private static final FeedPace SERVER_PACE = FeedPace.of(3_000, 700, 700);
 
@@ -424,8 +424,7 @@
     }
 
     /**
-     * Returns a future that completes with that of {@link #startShutdown}; does not start a
-     * shutdown.
+     * Returns a future that completes at the end of the shutdown, without starting the shutdown.
      */
     public CompletableFuture<Void> shutdownFuture() {
         return shutdown.shutdownFuture();
--- a/masticweir/src/main/java/org/masticweir/relay/RelayShutdown.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayShutdown.java
@@ -96,7 +96,9 @@
         return shutdownFuture;
     }
 
-    /** Returns a future that completes with that of {@link #start}; does not start the shutdown. */
+    /**
+     * Returns a future that completes at the end of the shutdown, without starting the shutdown.
+     */
     CompletableFuture<Void> shutdownFuture() {
         return shutdownFuture.copy();
     }
--- a/masticweir/src/main/java/org/masticweir/relay/ThreadDelays.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ThreadDelays.java
@@ -16,8 +16,8 @@
 /**
  * Measures the scheduling delay of the router's two threads; thread-safe.
  *
- * <p>All timeouts of requests are only as exact as these threads. Without this measurement, a busy
- * processor cannot be distinguished from a wrong decision.
+ * <p>Delays of these threads make all timeouts of requests late. Without this measurement, the
+ * effects of a busy processor cannot be distinguished from those of a wrong decision.
  */
 final class ThreadDelays {
     private static final Logger LOG = LogManager.getLogger(ThreadDelays.class);
