--- a/masticweir/src/main/java/org/masticweir/relay/KnownRouters.java
+++ b/masticweir/src/main/java/org/masticweir/relay/KnownRouters.java
@@ -26,7 +26,10 @@
  * them within it.
  */
 final class KnownRouters {
-    /** Gateways of a domain: with two of them, one may be lost at any moment. */
+    /**
+     * Number of gateways of a domain; with two, the domain still has a gateway after the loss of
+     * one.
+     */
     private static final int GATEWAYS_PER_DOMAIN = 2;
 
     /** Rounds in which each remaining router of the other domains is polled once. */
@@ -36,11 +39,11 @@
     private final Map<RouterId, RouterInfo> routers = new HashMap<>();
     private Optional<Groups> groups = Optional.empty();
 
-    /** The groups of the routers known now. */
+    /** Groups of the routers that have been added so far. */
     private record Groups(
             ImmutableSet<RouterId> ownDomain,
             ImmutableSet<RouterId> storeRecipients,
-            ImmutableList<RouterId> otherRemotes) {}
+            ImmutableList<RouterId> remoteRouters) {}
 
     KnownRouters(RouterInfo self) {
         this.self = checkNotNull(self, "self");
@@ -57,8 +60,8 @@
     }
 
     boolean isInOwnDomain(RouterId router) {
-        RouterInfo at = routers.get(router);
-        return at != null && at.domain().equals(self.domain());
+        RouterInfo info = routers.get(router);
+        return info != null && info.domain().equals(self.domain());
     }
 
     /** Returns the other routers of the own domain. */
@@ -78,16 +81,16 @@
     ImmutableSet<RouterId> pollTargets(long round) {
         ImmutableSet.Builder<RouterId> targets = ImmutableSet.builder();
         targets.addAll(storeRecipients());
-        ImmutableList<RouterId> remotes = groups().otherRemotes();
+        ImmutableList<RouterId> remoteRouters = groups().remoteRouters();
         for (int i = (int) (round % REMOTE_POLL_ROUNDS);
-                i < remotes.size();
+                i < remoteRouters.size();
                 i += REMOTE_POLL_ROUNDS) {
-            targets.add(remotes.get(i));
+            targets.add(remoteRouters.get(i));
         }
         return targets.build();
     }
 
-    /** Computed on demand: at startup, a router learns of all others one by one. */
+    /** Computes the groups on demand, because at startup the other routers are added one by one. */
     private Groups groups() {
         if (groups.isEmpty()) {
             groups = Optional.of(group());
@@ -111,12 +114,12 @@
                                         Rendezvous.first(
                                                 ReadingShare.DUTY, ids, GATEWAYS_PER_DOMAIN)));
         ImmutableSet<RouterId> storeRecipients = recipients.build();
-        ImmutableList<RouterId> otherRemotes =
+        ImmutableList<RouterId> remoteRouters =
                 byDomain.values().stream()
                         .flatMap(List::stream)
                         .filter(id -> !storeRecipients.contains(id))
                         .sorted(Comparator.comparing(RouterId::value))
                         .collect(ImmutableList.toImmutableList());
-        return new Groups(ImmutableSet.copyOf(ownDomain), storeRecipients, otherRemotes);
+        return new Groups(ImmutableSet.copyOf(ownDomain), storeRecipients, remoteRouters);
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/PeerDirectory.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PeerDirectory.java
@@ -24,9 +24,9 @@
  * Discovery of routers: each writes its address to the store, then reads the addresses of the
  * others.
  *
- * <p>Two routers that start at the same moment still find each other: the one that reads last finds
- * the other and sends it an introduction. Started on the control thread; the list of routers can be
- * read on any thread.
+ * <p>Two routers that start at the same moment still find each other: the router that reads last
+ * finds the other router and sends an introduction to it. Started on the control thread; the list
+ * of routers can be read on any thread.
  */
 final class PeerDirectory {
     private static final Logger LOG = LogManager.getLogger(PeerDirectory.class);
@@ -47,7 +47,7 @@
     private final PlatformPort.Store store;
     private final RouterInfo self;
     private final ScheduledExecutorService control;
-    private final List<RouterId> known = new CopyOnWriteArrayList<>();
+    private final List<RouterId> knownRouters = new CopyOnWriteArrayList<>();
 
     PeerDirectory(PlatformPort.Store store, RouterInfo self, ScheduledExecutorService control) {
         this.store = checkNotNull(store, "store");
@@ -74,14 +74,14 @@
 
     /** Adds a router. */
     void add(RouterId id) {
-        if (!known.contains(id)) {
-            known.add(id);
+        if (!knownRouters.contains(id)) {
+            knownRouters.add(id);
         }
     }
 
     /** Returns the other routers that have been found. */
-    List<RouterId> known() {
-        return known;
+    List<RouterId> knownRouters() {
+        return knownRouters;
     }
 
     private void readOthers(Consumer<RouterInfo> found) {
--- a/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayRouter.java
@@ -75,8 +75,8 @@
     private static final FeedPace CATALOG_PACE = FeedPace.of(3_000, 700, 50);
 
     /**
-     * A leaving server receives no new requests within two seconds; a series of changes costs one
-     * call.
+     * A leaving server must receive no new requests after two seconds; within this limit, one call
+     * returns a series of changes.
      */
     private static final FeedPace SERVER_PACE = FeedPace.of(3_000, 700, 700);
 
@@ -106,7 +106,7 @@
     private final ServerHealth health = ServerHealth.create();
     private final ServerNotices serverNotices = ServerNotices.create();
     private final MetricRegistry metrics = new MetricRegistry();
-    private final DrainingAdmission intake = new DrainingAdmission();
+    private final DrainingAdmission admission = new DrainingAdmission();
     private final KeepAliveConnections keepAlive = new KeepAliveConnections();
     private final ServiceRetryBudgets retryBudgets;
     private final PeerLinks links;
@@ -122,8 +122,8 @@
     private final ServerLimits serverLimits = ServerLimits.create();
     private final SharedPermits permits;
     private final SharedLimits limits;
-    private final AnswerMetadataRecorder notices;
-    private final LossInquiry losses;
+    private final AnswerMetadataRecorder metadataRecorder;
+    private final LossInquiry inquiry;
     private final InFlightRequests inFlight;
     private final PeerExchange peers;
     private final RelayShutdown shutdown;
@@ -138,7 +138,7 @@
         this.settings = checkNotNull(settings, "settings");
         this.clock = checkNotNull(clock, "clock");
         this.platform = checkNotNull(platform, "platform");
-        retryBudgets = ServiceRetryBudgets.of(settings.retryShare(), settings.retryAllowance());
+        retryBudgets = ServiceRetryBudgets.of(settings.retryRatio(), settings.retryAllowance());
         worker = newWorker();
         thread = worker.getIoThread();
         calls = HttpCaller.create(worker, HttpCallerLimits.defaults());
@@ -160,10 +160,10 @@
         quarantine = sharedQuarantine();
         permits = new SharedPermits(settings.router(), links, clock, thread, metrics);
         limits = sharedLimits();
-        notices =
+        metadataRecorder =
                 new AnswerMetadataRecorder(
                         serverNotices, limits, platform.protocol(), clock, metrics);
-        losses = lossInquiry();
+        inquiry = lossInquiry();
         inFlight = new InFlightRequests(quarantine);
         quarantine.onChange((c, q) -> thread.execute(() -> inFlight.onQuarantineChange(c, q)));
         peers =
@@ -185,9 +185,9 @@
                 RelayPorts.create(
                         settings,
                         worker,
-                        new RelayHandler(context(loadSharing), intake, keepAlive),
+                        new RelayHandler(context(loadSharing), admission, keepAlive),
                         platform.protocol().readyPath(),
-                        () -> deployment.isReady() && !intake.isDraining(),
+                        () -> deployment.isReady() && !admission.isDraining(),
                         metrics);
         callersPort =
                 new CallersPort(
@@ -220,7 +220,7 @@
         ports.openManagement();
         peers.start();
         links.start();
-        control.execute(() -> reading.follow(catalogFollower, serverFollower));
+        control.execute(() -> reading.setFollowers(catalogFollower, serverFollower));
         directory.join(peers::addRouter);
         quarantineStore.load(quarantine::restore);
         control.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
@@ -258,7 +258,7 @@
                 CATALOG_PACE,
                 (rows, since, dueMs) -> {
                     if (deployment.applyCatalogRows(rows)) {
-                        sharing.catalogChanged();
+                        sharing.onCatalogChange();
                     }
                 },
                 reading::role,
@@ -272,7 +272,7 @@
                 store,
                 SERVER_PACE,
                 (rows, since, dueMs) ->
-                        sharing.serversChanged(deployment.applyServerRows(rows, since, dueMs)),
+                        sharing.onServerUpdates(deployment.applyServerRows(rows, since, dueMs)),
                 reading::role,
                 control,
                 clock);
@@ -285,7 +285,7 @@
                 health,
                 incarnation -> view.server(incarnation),
                 clock,
-                directory::known,
+                directory::knownRouters,
                 links::send);
     }
 
@@ -295,7 +295,7 @@
                 clock,
                 metrics,
                 control,
-                update -> directory.known().forEach(p -> links.send(p, update)),
+                update -> directory.knownRouters().forEach(p -> links.send(p, update)),
                 quarantineStore::save);
     }
 
@@ -305,17 +305,17 @@
                 permits,
                 clock,
                 metrics,
-                update -> directory.known().forEach(p -> links.send(p, update)));
+                update -> directory.knownRouters().forEach(p -> links.send(p, update)));
     }
 
     private LossInquiry lossInquiry() {
-        ServerProbe check = new ServerProbe(calls, platform.protocol(), limits, notices);
+        ServerProbe check = new ServerProbe(calls, platform.protocol(), limits, metadataRecorder);
         return new LossInquiry(quarantine, check, clock);
     }
 
     private RelayShutdown relayShutdown() {
         return new RelayShutdown(
-                intake,
+                admission,
                 () -> thread.execute(keepAlive::closeAll),
                 () -> thread.execute(inFlight::endAll),
                 control,
@@ -338,7 +338,7 @@
                     loads.retainServers(present);
                     health.updateListedServers(present, clock.nowMs());
                     serverNotices.updateListedServers(present, clock.nowMs());
-                    losses.updateListed(present);
+                    inquiry.updateListed(present);
                     limits.retainServers(present);
                 });
     }
@@ -351,7 +351,7 @@
                 platform.protocol(),
                 new DefaultByteBufferPool(true, BUFFER_BYTES),
                 calls,
-                new PromptCacheClient(calls, platform.protocol(), notices, clock),
+                new PromptCacheClient(calls, platform.protocol(), metadataRecorder, clock),
                 () -> view,
                 loads,
                 health,
@@ -360,9 +360,9 @@
                 retryBudgets,
                 new SharedRetryPermits(retryBudgets, permits, clock),
                 limits,
-                notices,
+                metadataRecorder,
                 quarantine,
-                losses,
+                inquiry,
                 inFlight,
                 WaitQueue.create(),
                 SilenceTimeouts.create(),
@@ -424,11 +424,10 @@
     }
 
     /**
-     * Returns a future that completes with that of {@link #startShutdown}; does not start a
-     * shutdown.
+     * Returns a future that completes at the end of the shutdown, without starting the shutdown.
      */
     public CompletableFuture<Void> shutdownFuture() {
-        return shutdown.done();
+        return shutdown.shutdownFuture();
     }
 
     /**
@@ -437,7 +436,7 @@
      */
     public void reload(RelaySettings changed) {
         LogSetup.level(Level.valueOf(changed.logLevel().name()));
-        thread.execute(() -> retryBudgets.update(changed.retryShare(), changed.retryAllowance()));
+        thread.execute(() -> retryBudgets.update(changed.retryRatio(), changed.retryAllowance()));
         LOG.info("router: settings reloaded, log level {}", changed.logLevel());
     }
 
