--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStateMachine.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStateMachine.java
@@ -17,7 +17,8 @@
  *
  * <p>{@link #start} returns the first write; each event returns the next actions. At most one of
  * {@code Grant}, {@code ReportAlreadyClaimed} and {@code Refuse} is ever returned, so that a late
- * response can't grant a claim that was given up. Not thread-safe: owned by the control thread.
+ * response can't grant a claim whose caller was refused. Not thread-safe: owned by the control
+ * thread.
  */
 public final class ClaimStateMachine {
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
@@ -35,7 +36,7 @@
     }
 
     private final RowKey key;
-    private final ClaimRow claim;
+    private final ClaimRow claimRow;
     private final ClaimPolicy policy;
     private final long sendBeforeMs;
     private final long deadlineMs;
@@ -44,28 +45,28 @@
     private ClaimRow targetRow;
     private long revision = Row.ABSENT;
     private int ticket;
-    private int attempts;
+    private int writeAttempts;
     private boolean mayHaveCommitted;
     private long settleUntilMs;
 
     private ClaimStateMachine(
-            RowKey key, ClaimRow claim, ClaimPolicy policy, long nowMs, long deadlineMs) {
+            RowKey key, ClaimRow claimRow, ClaimPolicy policy, long nowMs, long deadlineMs) {
         this.key = checkNotNull(key, "key");
-        this.claim = checkNotNull(claim, "claim");
+        this.claimRow = checkNotNull(claimRow, "claimRow");
         this.policy = checkNotNull(policy, "policy");
         this.deadlineMs = deadlineMs;
         checkArgument(
-                claim.status() == ClaimStatus.CLAIMED,
+                claimRow.status() == ClaimStatus.CLAIMED,
                 "claim starts with status %s",
-                claim.status());
+                claimRow.status());
         sendBeforeMs = Math.min(deadlineMs, nowMs + policy.sendWithinMs());
-        targetRow = claim;
+        targetRow = claimRow;
     }
 
     /** Returns a claim that is not yet written; at {@code deadlineMs} its caller gives up. */
     public static ClaimStateMachine of(
-            RowKey key, ClaimRow claim, ClaimPolicy policy, long nowMs, long deadlineMs) {
-        return new ClaimStateMachine(key, claim, policy, nowMs, deadlineMs);
+            RowKey key, ClaimRow claimRow, ClaimPolicy policy, long nowMs, long deadlineMs) {
+        return new ClaimStateMachine(key, claimRow, policy, nowMs, deadlineMs);
     }
 
     /** Returns the first write. */
@@ -75,7 +76,7 @@
     }
 
     /** Handles one event and returns the next actions in order. */
-    public List<ClaimAction> on(ClaimEvent event, long nowMs) {
+    public List<ClaimAction> onEvent(ClaimEvent event, long nowMs) {
         checkNotNull(event, "event");
         if (phase == Phase.CLOSED || isStale(event)) {
             return ImmutableList.of();
@@ -96,14 +97,14 @@
             return phase == Phase.CLAIMING ? giveUp(nowMs) : ImmutableList.of();
         }
         if (event instanceof ClaimEvent.Ended e) {
-            return end(claim.done(e.verdict(), e.result()), nowMs);
+            return end(claimRow.done(e.verdict(), e.result()), nowMs);
         }
-        return end(claim.released(), nowMs);
+        return end(claimRow.released(), nowMs);
     }
 
     /**
-     * Returns whether {@code event} responds to an earlier write: it does not describe the row
-     * after the later write.
+     * Returns whether {@code event} responds to an earlier write; such an event does not describe
+     * the row after the latest write.
      */
     private boolean isStale(ClaimEvent event) {
         if (event instanceof ClaimEvent.Committed e) {
@@ -137,7 +138,7 @@
         }
         if (row.isPresent()) {
             ClaimRow found = ClaimRow.decode(row.value());
-            if (found.isFrom(claim.nonce())) {
+            if (found.hasNonce(claimRow.nonce())) {
                 return onOwnRow(found, row.revision(), nowMs);
             }
             if (phase == Phase.SETTLING || !found.status().isClaimable()) {
@@ -152,9 +153,9 @@
     }
 
     /**
-     * An earlier write whose response was lost was committed. If it was the claim, the router may
-     * send; during a clean-up the row is either the target row already or the late insert to
-     * replace.
+     * Handles the commit of an earlier write whose response was lost. While claiming, the router
+     * may now send. While settling, the row is either the target row or a late insert, which is
+     * replaced.
      */
     private List<ClaimAction> onOwnRow(ClaimRow found, long rowRevision, long nowMs) {
         if (phase == Phase.CLAIMING) {
@@ -194,10 +195,11 @@
 
     private List<ClaimAction> retryOrEnd(long nowMs) {
         if (phase == Phase.CLAIMING) {
-            boolean isExhausted = attempts >= policy.maxTries() || nowMs >= deadlineMs;
+            boolean isExhausted = writeAttempts >= policy.maxTries() || nowMs >= deadlineMs;
             return isExhausted ? giveUp(nowMs) : ImmutableList.of(nextWrite(nowMs));
         }
-        // No caller waits any more. An unchanged row reports MAY_HAVE_RUN to others, which is safe.
+        // No caller waits any more. An unchanged row reports MAY_HAVE_RUN to other routers, which
+        // is safe.
         return nowMs >= settleUntilMs ? close() : ImmutableList.of(nextWrite(nowMs));
     }
 
@@ -206,12 +208,13 @@
      *
      * <p>The insert may be committed after this refusal. This claim never permits a send again, so
      * the request does not run; but the row would block later submissions. Therefore a released row
-     * is written under the same check: whichever is committed first, the other one fails.
+     * is written under the same check: of the insert and the released row, the write that is
+     * committed second fails.
      */
     private List<ClaimAction> giveUp(long nowMs) {
         ClaimAction refusal =
                 new ClaimAction.Refuse(unavailable().retryAfterMs(policy.retryAfterMs()));
-        settle(claim.released(), nowMs);
+        settle(claimRow.released(), nowMs);
         return ImmutableList.of(refusal, nextWrite(nowMs));
     }
 
@@ -225,7 +228,7 @@
         phase = Phase.SETTLING;
         settleUntilMs = nowMs + policy.settleForMs();
         targetRow = row;
-        attempts = 0;
+        writeAttempts = 0;
     }
 
     private List<ClaimAction> close() {
@@ -235,12 +238,12 @@
 
     private ClaimAction nextWrite(long nowMs) {
         ticket++;
-        attempts++;
-        boolean urgent = phase == Phase.CLAIMING;
-        int doublings = Math.min(attempts - 2, MAX_BACKOFF_DOUBLINGS);
-        long delayMs = urgent || attempts == 1 ? 0 : policy.settleDelayMs() << doublings;
+        writeAttempts++;
+        boolean isUrgent = phase == Phase.CLAIMING;
+        int doublings = Math.min(writeAttempts - 2, MAX_BACKOFF_DOUBLINGS);
+        long delayMs = isUrgent || writeAttempts == 1 ? 0 : policy.settleDelayMs() << doublings;
         return new ClaimAction.Write(
-                new ClaimWrite(key, ticket, revision, targetRow, nowMs + delayMs, urgent));
+                new ClaimWrite(key, ticket, revision, targetRow, nowMs + delayMs, isUrgent));
     }
 
     private static MasticweirException unavailable() {
--- a/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
+++ b/masticweir/src/main/java/org/masticweir/claims/ClaimStatus.java
@@ -5,24 +5,26 @@
 
 /** The status of a claim as stored in its row. */
 public enum ClaimStatus {
-    /** The owner may send or has sent; no other router ever may. */
+    /** The owner may send or has sent; other routers must not send. */
     CLAIMED(false, Verdict.MAY_HAVE_RUN),
-    /** Nothing was or will be sent under this claim; any router may claim the request again. */
+    /**
+     * Nothing was sent or will be sent under this claim; any router may claim the request again.
+     */
     RELEASED(true, Verdict.NOT_RUN),
-    /** The request ended; the row holds its verdict. */
+    /** The request ended; the row contains its verdict. */
     DONE(false, Verdict.MAY_HAVE_RUN);
 
-    private final boolean claimable;
+    private final boolean isClaimable;
     private final Verdict verdictWithoutOwner;
 
-    ClaimStatus(boolean claimable, Verdict verdictOfLostOwner) {
-        this.claimable = claimable;
-        this.verdictWithoutOwner = verdictOfLostOwner;
+    ClaimStatus(boolean isClaimable, Verdict verdictWithoutOwner) {
+        this.isClaimable = isClaimable;
+        this.verdictWithoutOwner = verdictWithoutOwner;
     }
 
     /** Returns whether another claim may replace this one. */
     public boolean isClaimable() {
-        return claimable;
+        return isClaimable;
     }
 
     /** Returns the verdict that the row alone proves when its owner can't be reached. */
@@ -34,7 +36,7 @@
         return Ascii.toLowerCase(name());
     }
 
-    static ClaimStatus ofWireName(String word) {
-        return valueOf(Ascii.toUpperCase(word));
+    static ClaimStatus ofWireName(String wireName) {
+        return valueOf(Ascii.toUpperCase(wireName));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
+++ b/masticweir/src/main/java/org/masticweir/claims/DelegatedWrites.java
@@ -30,39 +30,39 @@
     private final WriteDelegation delegation;
     private final SharedWriteLimits limits;
     private final WriterLinks links;
-    private final Supplier<? extends Collection<RouterId>> serving;
+    private final Supplier<? extends Collection<RouterId>> servingRouters;
     private final ScheduledExecutorService control;
     private final Clock clock;
-    private final BooleanSupplier isTableOutHere;
-    private final Consumer<DelegationAction> actions;
-    private Optional<RouterId> lastWriter = Optional.empty();
+    private final BooleanSupplier isTableUnavailable;
+    private final Consumer<DelegationAction> actionHandler;
+    private Optional<RouterId> currentWriter = Optional.empty();
 
     DelegatedWrites(
             WriteDelegation delegation,
             SharedWriteLimits limits,
             WriterLinks links,
-            Supplier<? extends Collection<RouterId>> serving,
+            Supplier<? extends Collection<RouterId>> servingRouters,
             ScheduledExecutorService control,
             Clock clock,
-            BooleanSupplier isTableOutHere,
-            Consumer<DelegationAction> actions) {
+            BooleanSupplier isTableUnavailable,
+            Consumer<DelegationAction> actionHandler) {
         this.delegation = checkNotNull(delegation, "delegation");
         this.limits = checkNotNull(limits, "limits");
         this.links = checkNotNull(links, "links");
-        this.serving = checkNotNull(serving, "serving");
+        this.servingRouters = checkNotNull(servingRouters, "servingRouters");
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
-        this.isTableOutHere = checkNotNull(isTableOutHere, "isTableOutHere");
-        this.actions = checkNotNull(actions, "actions");
+        this.isTableUnavailable = checkNotNull(isTableUnavailable, "isTableUnavailable");
+        this.actionHandler = checkNotNull(actionHandler, "actionHandler");
     }
 
     /**
      * Delegates {@code item} to a writer, now or at its start time; returns false if this router
-     * has to write it itself.
+     * has to write the row itself.
      */
     boolean delegate(BatchItem item) {
         long now = clock.nowMs();
-        Optional<RouterId> writer = delegation.writerFor(item.write(), serving.get(), now);
+        Optional<RouterId> writer = delegation.writerFor(item.write(), servingRouters.get(), now);
         logWriterChange(writer);
         if (writer.isEmpty()) {
             return false;
@@ -81,14 +81,14 @@
         scheduleExpiry(key, limits.outcomeWaitMs());
     }
 
-    /** Notifies {@code claimant} that this router queued its write. */
+    /** Notifies {@code claimant} that this router queued the claimant's write. */
     void sendAccepted(RouterId claimant, ClaimWriteId key) {
         links.sendAccepted(claimant, new ClaimWriteAccepted(key));
     }
 
     private void delegateDelayed(BatchItem item) {
         if (!delegate(item)) {
-            actions.accept(new DelegationAction.WriteLocally(item));
+            actionHandler.accept(new DelegationAction.WriteLocally(item));
         }
     }
 
@@ -107,7 +107,7 @@
     private void onResponse(ClaimWriteId key, ClaimWriteResponse response, Throwable error) {
         long now = clock.nowMs();
         if (error == null) {
-            applyAll(delegation.onResponse(key, response, isTableOutHere.getAsBoolean(), now));
+            applyAll(delegation.onResponse(key, response, isTableUnavailable.getAsBoolean(), now));
         } else if (isNotRun(error)) {
             applyAll(delegation.onNotSent(key, now));
         } else {
@@ -125,13 +125,13 @@
                 () -> applyAll(delegation.expire(key, clock.nowMs())), ms, TimeUnit.MILLISECONDS);
     }
 
-    private void applyAll(List<DelegationAction> todo) {
-        todo.forEach(actions);
+    private void applyAll(List<DelegationAction> newActions) {
+        newActions.forEach(actionHandler);
     }
 
     private void logWriterChange(Optional<RouterId> writer) {
-        if (!writer.equals(lastWriter)) {
-            lastWriter = writer;
+        if (!writer.equals(currentWriter)) {
+            currentWriter = writer;
             LOG.info("claims: written by {}", writer.map(RouterId::value).orElse("this router"));
         }
     }
--- a/masticweir/src/main/java/org/masticweir/forward/ContentPolicy.java
+++ b/masticweir/src/main/java/org/masticweir/forward/ContentPolicy.java
@@ -3,12 +3,15 @@
 import java.util.OptionalLong;
 import org.masticweir.quarantine.SendRule;
 
-/** Decides before each send of one request whether its content may be sent. */
+/** Decides before each send of a request whether the content of the request may be sent. */
 public interface ContentPolicy {
     SendRule rule(long nowMs);
 
-    /** Returns the remaining time for which rejected content is not sent, in ms. */
-    OptionalLong holdLeftMs(long nowMs);
+    /**
+     * Returns how long the content stays in quarantine, in ms; empty if the policy has no
+     * quarantine.
+     */
+    OptionalLong remainingQuarantineMs(long nowMs);
 
     /** Returns the policy of a request that may always be sent. */
     static ContentPolicy allowAll() {
@@ -19,7 +22,7 @@
             }
 
             @Override
-            public OptionalLong holdLeftMs(long nowMs) {
+            public OptionalLong remainingQuarantineMs(long nowMs) {
                 return OptionalLong.empty();
             }
         };
--- a/masticweir/src/main/java/org/masticweir/forward/HeldPermits.java
+++ b/masticweir/src/main/java/org/masticweir/forward/HeldPermits.java
@@ -7,33 +7,34 @@
 import org.masticweir.catalog.BackendServer;
 
 /**
- * Permits that one request holds until it is sent; owned by the traffic thread.
+ * Permits of one request until the request is sent; owned by the traffic thread.
  *
- * <p>A permit is valid for a short time and has to be requested again afterwards. Without this
- * limit, a waiting request could use its permit in a later window, for which the issuer has already
- * granted the full rate.
+ * <p>A permit expires after a short time; afterwards the request needs a new one. Without the
+ * expiry, a waiting request could use its permit in a later window, for which the issuer has
+ * already granted the full rate.
  */
 final class HeldPermits {
     /** Validity of a permit, in ms. */
-    static final long VALID_MS = 300;
+    static final long PERMIT_VALIDITY_MS = 300;
 
     private Optional<BackendServer> permittedServer = Optional.empty();
     private long serverPermitExpiresMs;
     private OptionalLong retryPermitExpiresMs = OptionalLong.empty();
 
-    /** Expiry of the retry permit that the send in flight has used. */
-    private OptionalLong usedRetryPermit = OptionalLong.empty();
+    /** Expiry of the retry permit that the send in flight has consumed. */
+    private OptionalLong usedRetryPermitExpiresMs = OptionalLong.empty();
 
     /** Records the decision on a permit for a rate-limited server. */
     void recordDecision(BackendServer limitedServer, boolean granted, long nowMs) {
         checkNotNull(limitedServer, "limitedServer");
         permittedServer = granted ? Optional.of(limitedServer) : Optional.empty();
-        serverPermitExpiresMs = nowMs + VALID_MS;
+        serverPermitExpiresMs = nowMs + PERMIT_VALIDITY_MS;
     }
 
     /** Records the decision on a retry permit. */
     void recordRetryDecision(boolean granted, long nowMs) {
-        retryPermitExpiresMs = granted ? OptionalLong.of(nowMs + VALID_MS) : OptionalLong.empty();
+        retryPermitExpiresMs =
+                granted ? OptionalLong.of(nowMs + PERMIT_VALIDITY_MS) : OptionalLong.empty();
     }
 
     /** Returns the rate-limited server to which the request may be sent once. */
@@ -45,15 +46,15 @@
         return retryPermitExpiresMs.isPresent() && nowMs < retryPermitExpiresMs.getAsLong();
     }
 
-    /** Uses up the permits for a send. */
+    /** Consumes the permits for a send. */
     void consume() {
         permittedServer = Optional.empty();
-        usedRetryPermit = retryPermitExpiresMs;
+        usedRetryPermitExpiresMs = retryPermitExpiresMs;
         retryPermitExpiresMs = OptionalLong.empty();
     }
 
-    /** Restores the retry permit, because nothing of the send left this process. */
+    /** Restores the retry permit of a send that transmitted no data. */
     void restoreRetryPermit() {
-        retryPermitExpiresMs = usedRetryPermit;
+        retryPermitExpiresMs = usedRetryPermitExpiresMs;
     }
 }
--- a/masticweir/src/main/java/org/masticweir/forward/LoadEntry.java
+++ b/masticweir/src/main/java/org/masticweir/forward/LoadEntry.java
@@ -6,14 +6,14 @@
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.ServerIncarnation;
 
-/** Entry of one send in the {@link LoadTracker}, from the send to its end. */
+/** Load of one send in the {@link LoadTracker}, from the start of the send to its end. */
 public final class LoadEntry implements AutoCloseable {
     private final LoadTracker loads;
     private final ServerIncarnation server;
     private final RequestSize size;
     private final Optional<ServerIncarnation> copyHolder;
     private final long copyTokens;
-    private boolean endPrefill;
+    private boolean isPrefillEnded;
     private boolean isClosed;
 
     private LoadEntry(
@@ -44,8 +44,8 @@
 
     /** Records the end of the prefill, once. */
     public void endPrefill() {
-        if (!endPrefill && !isClosed) {
-            endPrefill = true;
+        if (!isPrefillEnded && !isClosed) {
+            isPrefillEnded = true;
             loads.recordPrefillEnd(server, size);
         }
     }
--- a/masticweir/src/main/java/org/masticweir/limits/ClassQueue.java
+++ b/masticweir/src/main/java/org/masticweir/limits/ClassQueue.java
@@ -14,7 +14,7 @@
  * The queued requests of one class, shared fairly between teams; not thread-safe.
  *
  * <p>Weighted fair queueing on tokens: the team with the fewest tokens per weight is served next. A
- * team that was idle starts at the current virtual time, so it can't accumulate credit.
+ * team that was idle starts at the current virtual time, so idle teams can't accumulate credit.
  */
 final class ClassQueue {
     private static final int MAX_IDLE_TEAMS = 512;
@@ -24,10 +24,11 @@
 
     private final ToDoubleFunction<TeamId> weight;
     private final LimitSettings settings;
-    private final Map<TeamId, TeamQueue> teams = new LinkedHashMap<>();
+    private final Map<TeamId, TeamQueue> queuesByTeam = new LinkedHashMap<>();
 
     /**
-     * Virtual times of teams without requests, kept while they are ahead of {@link #virtualTime}.
+     * Virtual times of teams without requests; a time is kept while it is ahead of {@link
+     * #virtualTime}.
      */
     private final Map<TeamId, Double> idleVirtualTimes = new LinkedHashMap<>();
 
@@ -35,30 +36,30 @@
     private final HoldTimeEstimate holdTime = new HoldTimeEstimate();
     private double virtualTime;
     private double servedSlotMs;
-    private int size;
+    private int queuedCount;
     private int rotationStart;
 
     ClassQueue(ToDoubleFunction<TeamId> weight, LimitSettings settings) {
-        this.weight = settings.fairShares() ? weight : team -> 1;
+        this.weight = settings.hasFairShares() ? weight : team -> 1;
         this.settings = settings;
     }
 
     void add(AdmissionRequest r, long nowMs) {
-        if (size == 0) {
+        if (queuedCount == 0) {
             headWait.startWait(nowMs);
         }
-        teams.computeIfAbsent(queueKey(r.team()), this::newTeam).add(r);
-        size++;
+        queuesByTeam.computeIfAbsent(queueKey(r.team()), this::newTeam).add(r);
+        queuedCount++;
     }
 
     boolean remove(AdmissionRequest r) {
-        TeamQueue team = teams.get(queueKey(r.team()));
+        TeamQueue team = queuesByTeam.get(queueKey(r.team()));
         if (team == null || !team.remove(r)) {
             return false;
         }
-        size--;
+        queuedCount--;
         if (team.isEmpty()) {
-            teams.remove(queueKey(r.team()));
+            queuesByTeam.remove(queueKey(r.team()));
             storeIdleTeam(queueKey(r.team()), team.servedPerWeight());
         }
         return true;
@@ -66,7 +67,7 @@
 
     /** Returns the next request among those for which {@code isAdmissible} holds, if any. */
     Optional<AdmissionRequest> next(Predicate<AdmissionRequest> isAdmissible) {
-        return teams.values().stream()
+        return queuesByTeam.values().stream()
                 .filter(t -> isAdmissible.test(t.first()))
                 .min(comparingDouble(TeamQueue::servedPerWeight))
                 .map(TeamQueue::first);
@@ -74,7 +75,7 @@
 
     /** Removes {@code r} and charges its team. */
     void serve(AdmissionRequest r, long nowMs) {
-        TeamQueue team = teams.get(queueKey(r.team()));
+        TeamQueue team = queuesByTeam.get(queueKey(r.team()));
         virtualTime = Math.max(virtualTime, team.servedPerWeight());
         team.charge(r.maxTotalTokens() / weight.applyAsDouble(r.team()));
         remove(r);
@@ -90,9 +91,9 @@
         servedSlotMs += slotMs;
     }
 
-    /** Raises the virtual time of a class that was idle to at least {@code level}. */
-    void advanceTo(double level) {
-        servedSlotMs = Math.max(servedSlotMs, level);
+    /** Raises the virtual time of a class that was idle to at least {@code minVirtualTime}. */
+    void advanceTo(double minVirtualTime) {
+        servedSlotMs = Math.max(servedSlotMs, minVirtualTime);
     }
 
     HoldTimeEstimate holdTime() {
@@ -101,22 +102,22 @@
 
     /** Returns the expected time that the first request waits until it is admitted. */
     double headWaitMs(double estimateMs, long nowMs) {
-        return headWait.expectedMs(estimateMs, size > 0, nowMs);
+        return headWait.expectedMs(estimateMs, queuedCount > 0, nowMs);
     }
 
     /**
-     * Returns how many requests are served before {@code r} if its team has {@code ownAhead} before
-     * it.
+     * Returns how many requests are served before {@code r} if the team of {@code r} has {@code
+     * ownAhead} earlier requests.
      *
-     * <p>Compares the virtual times of the teams. An estimate from the weights alone assumes that
-     * the only request of a small team waits for many requests of a large team, and refuses it
-     * although it would be served next.
+     * <p>Compares the virtual times of the teams. An estimate from the weights alone would assume
+     * that the only request of a small team waits for many requests of a large team. This request
+     * would be refused although it would be served next.
      */
     double requestsAhead(AdmissionRequest r, int ownAhead) {
         double perRequest = r.maxTotalTokens() / weight.applyAsDouble(r.team());
         double startTime = virtualTimeOf(queueKey(r.team())) + ownAhead * perRequest;
         double ahead = ownAhead;
-        for (Map.Entry<TeamId, TeamQueue> e : teams.entrySet()) {
+        for (Map.Entry<TeamId, TeamQueue> e : queuesByTeam.entrySet()) {
             double lead = startTime - e.getValue().servedPerWeight();
             if (!e.getKey().equals(queueKey(r.team())) && lead >= 0) {
                 int tokens = e.getValue().first().maxTotalTokens();
@@ -128,30 +129,31 @@
     }
 
     /**
-     * Returns the virtual time of {@code team}, or the one it would get if it queued a request now.
+     * Returns the virtual time of {@code team}. For a team without requests, returns the start time
+     * of a request that is queued now.
      */
     private double virtualTimeOf(TeamId team) {
-        TeamQueue queue = teams.get(team);
+        TeamQueue queue = queuesByTeam.get(team);
         return queue != null
                 ? queue.servedPerWeight()
                 : Math.max(virtualTime, idleVirtualTimes.getOrDefault(team, virtualTime));
     }
 
-    int size() {
-        return size;
+    int queuedCount() {
+        return queuedCount;
     }
 
-    int size(TeamId team) {
-        TeamQueue q = teams.get(queueKey(team));
+    int queuedCount(TeamId team) {
+        TeamQueue q = queuesByTeam.get(queueKey(team));
         return q == null ? 0 : q.size();
     }
 
     ImmutableList<TeamId> waitingTeams() {
-        return ImmutableList.copyOf(teams.keySet());
+        return ImmutableList.copyOf(queuesByTeam.keySet());
     }
 
     /**
-     * Returns up to {@code max} teams with requests; repeated calls return all of them in rotation.
+     * Returns up to {@code max} teams with requests; repeated calls return all teams in rotation.
      */
     ImmutableList<TeamId> nextTeams(int max) {
         ImmutableList<TeamId> all = waitingTeams();
@@ -166,24 +168,24 @@
                 .build();
     }
 
-    TeamQueue team(TeamId team) {
-        return teams.get(team);
+    TeamQueue queueOf(TeamId team) {
+        return queuesByTeam.get(team);
     }
 
     private TeamId queueKey(TeamId team) {
-        return settings.fairShares() ? team : ALL_TEAMS;
+        return settings.hasFairShares() ? team : ALL_TEAMS;
     }
 
     private TeamQueue newTeam(TeamId team) {
-        double level = virtualTimeOf(team);
+        double startTime = virtualTimeOf(team);
         idleVirtualTimes.remove(team);
-        return new TeamQueue(level, settings.classShares());
+        return new TeamQueue(startTime, settings.hasClassShares());
     }
 
     /**
      * Keeps the virtual time of a team that became idle. Without this, a team that queues one
-     * request at a time would start at the current virtual time each time and never be charged for
-     * the one before.
+     * request at a time would start each request at the current virtual time and would never be
+     * charged for the previous request.
      */
     private void storeIdleTeam(TeamId team, double servedPerWeight) {
         idleVirtualTimes.values().removeIf(t -> t <= virtualTime);
--- a/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
+++ b/masticweir/src/main/java/org/masticweir/limits/SnapshotCapacity.java
@@ -14,53 +14,53 @@
 /**
  * Computes capacity from the current routing snapshot and this router's own sends.
  *
- * <p>Prevents that all routers see the same free slots in the same report and all fill them. Each
- * router fills only a share of them. It is larger than an even share, since requests arrive in
+ * <p>Without this, all routers would fill the same free slots of the same report. Each router fills
+ * only a share of the free slots. This share is larger than an even share, since requests arrive in
  * bursts and seldom at all routers at once. Sends since the report count in full.
  *
  * <p>Prevents a permanent queue within the engines: if the routers together send too many
  * sequences, each router replaces its own sequences as they end and the queue never shrinks. Each
- * router therefore subtracts its even share of the sequences that wait there.
+ * router therefore subtracts its even share of the sequences that wait in the engines.
  *
  * <p>Thread-safe.
  */
 public final class SnapshotCapacity implements CapacitySource {
     private final Supplier<RoutingSnapshot> snapshot;
     private final InFlight inFlight;
-    private final IntSupplier routers;
+    private final IntSupplier routerCount;
 
-    /** Multiple of its even share of the free slots that one router may fill from one report. */
+    /** Multiple of an even share of the free slots that one router may fill after one report. */
     private final double burstFactor;
 
     private SnapshotCapacity(
             Supplier<RoutingSnapshot> snapshot,
             InFlight inFlight,
-            IntSupplier routers,
+            IntSupplier routerCount,
             double burstFactor) {
         this.snapshot = checkNotNull(snapshot, "snapshot");
         this.inFlight = checkNotNull(inFlight, "inFlight");
-        this.routers = checkNotNull(routers, "routers");
+        this.routerCount = checkNotNull(routerCount, "routerCount");
         this.burstFactor = burstFactor;
     }
 
     /**
      * Returns a source for a router that shares the engines with other routers.
      *
-     * @param routers number of routers, including this one, that send to the engines of the
+     * @param routerCount number of routers, including this router, that send to the engines of the
      *     snapshot
      */
     public static SnapshotCapacity create(
             Supplier<RoutingSnapshot> snapshot,
             InFlight inFlight,
-            IntSupplier routers,
+            IntSupplier routerCount,
             LimitSettings settings) {
-        return new SnapshotCapacity(snapshot, inFlight, routers, settings.burstFactor());
+        return new SnapshotCapacity(snapshot, inFlight, routerCount, settings.burstFactor());
     }
 
     /** Returns a source with the default settings. */
     public static SnapshotCapacity create(
-            Supplier<RoutingSnapshot> snapshot, InFlight inFlight, IntSupplier routers) {
-        return create(snapshot, inFlight, routers, LimitSettings.defaults());
+            Supplier<RoutingSnapshot> snapshot, InFlight inFlight, IntSupplier routerCount) {
+        return create(snapshot, inFlight, routerCount, LimitSettings.defaults());
     }
 
     @Override
@@ -69,7 +69,7 @@
         if (engines.isEmpty()) {
             return Capacity.none();
         }
-        double evenShare = 1.0 / Math.max(1, routers.getAsInt());
+        double evenShare = 1.0 / Math.max(1, routerCount.getAsInt());
         double burstShare = Math.min(1, burstFactor * evenShare);
         double slots = sum(engines, EngineView::usableCapacity);
         double freeSlots =
--- a/masticweir/src/main/java/org/masticweir/permits/SharedLimits.java
+++ b/masticweir/src/main/java/org/masticweir/permits/SharedLimits.java
@@ -18,8 +18,9 @@
 import org.masticweir.time.Clock;
 
 /**
- * The limits that servers announce. Each change of a limit is logged and counted, and a change that
- * this router observed is sent to the other routers. Owned by the traffic thread.
+ * Shares the limits that servers announce with the other routers. Logs and counts each change of a
+ * limit, and sends the changes that this router observed to all other routers. Owned by the traffic
+ * thread.
  */
 public final class SharedLimits {
     private static final Logger LOG = LogManager.getLogger(SharedLimits.class);
@@ -28,12 +29,12 @@
     private final SharedPermits permits;
     private final Clock clock;
     private final Consumer<LimitUpdate> broadcast;
-    private final Counter changes;
-    private final Counter unreadable;
-    private final Counter limited;
+    private final Counter changeCounter;
+    private final Counter unreadableCounter;
+    private final Counter limitedServersCounter;
 
     /**
-     * Creates the limits of one router.
+     * Creates the shared limits of one router.
      *
      * @param broadcast sends an update to all other routers
      */
@@ -47,30 +48,31 @@
         this.permits = checkNotNull(permits, "permits");
         this.clock = checkNotNull(clock, "clock");
         this.broadcast = checkNotNull(broadcast, "broadcast");
-        changes = metrics.counter(MetricName.of("server_limits_changed_total"));
-        limited = metrics.counter(MetricName.of("servers_limited"));
-        unreadable = metrics.counter(MetricName.of("server_limits_unreadable_total"));
+        changeCounter = metrics.counter(MetricName.of("server_limits_changed_total"));
+        limitedServersCounter = metrics.counter(MetricName.of("servers_limited"));
+        unreadableCounter = metrics.counter(MetricName.of("server_limits_unreadable_total"));
     }
 
     /**
      * Handles an answer of a server.
      *
      * @param request the answered request, for the log
-     * @param sentMs when that request was sent
+     * @param sentMs time at which the answered request was sent
      */
     public void handleAnswer(
-            ServerIncarnation server, AnnouncedLimit announced, String request, long sentMs) {
+            ServerIncarnation server, AnnouncedLimit announcedLimit, String request, long sentMs) {
         long now = clock.nowMs();
-        if (announced.kind() == AnnouncedLimit.Kind.UNREADABLE) {
-            unreadable.inc();
+        if (announcedLimit.kind() == AnnouncedLimit.Kind.UNREADABLE) {
+            unreadableCounter.inc();
             LOG.info("limits: {} announces an unreadable limit, answer to {}", server, request);
             return;
         }
-        OptionalDouble before = limits.perSecond(server);
-        if (limits.recordAnswer(server, announced, sentMs, now)) {
-            OptionalDouble after = limits.perSecond(server);
-            recordChange(server, before, after, "answer to " + request);
-            broadcast.accept(new LimitUpdate(ImmutableList.of(new ServerLimit(server, after, 0))));
+        OptionalDouble previousRate = limits.perSecond(server);
+        if (limits.recordAnswer(server, announcedLimit, sentMs, now)) {
+            OptionalDouble newRate = limits.perSecond(server);
+            recordChange(server, previousRate, newRate, "answer to " + request);
+            broadcast.accept(
+                    new LimitUpdate(ImmutableList.of(new ServerLimit(server, newRate, 0))));
         }
     }
 
@@ -78,20 +80,27 @@
     public void handleUpdate(RouterId peer, LimitUpdate update) {
         long now = clock.nowMs();
         for (ServerLimit limit : update.limits()) {
-            OptionalDouble before = limits.perSecond(limit.server());
+            OptionalDouble previousRate = limits.perSecond(limit.server());
             if (limits.merge(limit, now)) {
-                recordChange(limit.server(), before, limit.perSecond(), "update from " + peer);
+                recordChange(
+                        limit.server(), previousRate, limit.perSecond(), "update from " + peer);
             }
         }
     }
 
-    /** Returns all limits, for a router that has just been linked; empty if there are none. */
+    /**
+     * Returns an update with all limits, for a router that has just been linked; empty if there are
+     * no limits.
+     */
     public Optional<LimitUpdate> snapshot() {
         ImmutableList<ServerLimit> all = limits.snapshot(clock.nowMs());
         return all.isEmpty() ? Optional.empty() : Optional.of(new LimitUpdate(all));
     }
 
-    /** Counts a status probe: it is a request to the server, but must not wait for a permit. */
+    /**
+     * Reports the use of a status probe. A probe counts as a request to the server, but must not
+     * wait for a permit.
+     */
     public void recordProbe(ServerIncarnation server) {
         limits.perSecond(server)
                 .ifPresent(
@@ -102,8 +111,8 @@
     }
 
     /**
-     * Requests a permit to send one request to a server. After a denial this router requests no
-     * permit for the server until the time that the decision states.
+     * Requests a permit to send one request to a server. After a denial, this router does not
+     * request permits for the server until {@link PermitDecision#retryAfterMs} has passed.
      *
      * @param urgency 0 is the most urgent
      */
@@ -137,29 +146,32 @@
                         + " ms ago";
     }
 
-    /** Removes all servers that are not in {@code present}. */
-    public void retain(Set<ServerIncarnation> present) {
-        limits.retain(present);
+    /** Removes the limits of all servers that are not in {@code listedServers}. */
+    public void retainServers(Set<ServerIncarnation> listedServers) {
+        limits.retainServers(listedServers);
         updateCount();
     }
 
     private void updateCount() {
-        limited.inc(limits.count() - limited.getCount());
+        limitedServersCounter.inc(limits.limitedServerCount() - limitedServersCounter.getCount());
     }
 
     private void recordChange(
-            ServerIncarnation server, OptionalDouble before, OptionalDouble after, String source) {
-        changes.inc();
+            ServerIncarnation server,
+            OptionalDouble previousRate,
+            OptionalDouble newRate,
+            String source) {
+        changeCounter.inc();
         updateCount();
         LOG.info(
-                "limits: {} accepts {}, before {}, {}",
+                "limits: {} takes {}, {} before, {}",
                 server,
-                perSecond(after),
-                perSecond(before),
+                formatRate(newRate),
+                formatRate(previousRate),
                 source);
     }
 
-    private static String perSecond(OptionalDouble limit) {
+    private static String formatRate(OptionalDouble limit) {
         return limit.isPresent() ? limit.getAsDouble() + " a second" : "any number";
     }
 }
--- a/masticweir/src/main/java/org/masticweir/permits/TokenBucket.java
+++ b/masticweir/src/main/java/org/masticweir/permits/TokenBucket.java
@@ -17,20 +17,20 @@
     }
 
     /** Discards the tokens saved before {@code ms}. */
-    void emptyAt(long ms) {
+    void discardTokens(long ms) {
         tokens = 0;
         lastRefillMs = ms;
     }
 
-    /** Changes the rate; saved tokens are kept up to the burst of the new rate. */
-    void setRate(SharedRate next, long nowMs) {
+    /** Changes the rate and reduces the saved tokens to at most the burst of the new rate. */
+    void setRate(SharedRate newRate, long nowMs) {
         refill(nowMs);
-        rate = checkNotNull(next, "next");
+        rate = checkNotNull(newRate, "newRate");
         tokens = Math.min(tokens, rate.burst());
     }
 
-    /** Takes a token if at least {@code requiredTokens} are available. */
-    boolean tryTake(double requiredTokens, long nowMs) {
+    /** Consumes one token and returns true if at least {@code requiredTokens} are available. */
+    boolean tryConsume(double requiredTokens, long nowMs) {
         refill(nowMs);
         if (tokens < requiredTokens) {
             return false;
@@ -40,10 +40,10 @@
     }
 
     /**
-     * Takes a token for a use that has already been made. The balance may become negative, down to
+     * Consumes one token for a use without a permit. The balance may become negative, at most by
      * the burst, which delays the next grants.
      */
-    void forceTake(long nowMs) {
+    void consumeWithoutPermit(long nowMs) {
         refill(nowMs);
         tokens = Math.max(-rate.burst(), tokens - 1);
     }
--- a/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
+++ b/masticweir/src/main/java/org/masticweir/quarantine/QuarantineStore.java
@@ -28,12 +28,11 @@
 import org.masticweir.time.Clock;
 
 /**
- * Saves crash records in the platform's store, where they outlive all routers; owned by the control
- * thread.
+ * Saves crash records in the platform's durable store; owned by the control thread.
  *
- * <p>Without this, the loss of all routers at once would lose all evidence. A record with one
- * server is not saved: most of those are cleared soon, and without the record at most two more
- * servers end.
+ * <p>Without this, the loss of all routers at once would lose all recorded losses. A record with
+ * one server is not saved: most contents with one loss run successfully soon, and without the
+ * record at most two more servers end.
  */
 public final class QuarantineStore {
     private static final Logger LOG = LogManager.getLogger(QuarantineStore.class);
@@ -49,54 +48,57 @@
     /** Pause before a failed call is retried, in ms. */
     private static final long RETRY_MS = 500;
 
-    /** Maximum number of records to be written; a content's newest record replaces older ones. */
+    /**
+     * Maximum number of records to be written; the newest record of a content replaces its older
+     * records.
+     */
     private static final int MAX_PENDING = 4_096;
 
     private static final int PAGE_ROWS = 500;
-    private static final char SEPARATOR = ' ';
-    private static final char FIELD = ',';
-    private static final Splitter PARTS = Splitter.on(SEPARATOR);
-    private static final Splitter FIELDS = Splitter.on(FIELD);
+    private static final char PART_SEPARATOR = ' ';
+    private static final char FIELD_SEPARATOR = ',';
+    private static final Splitter PART_SPLITTER = Splitter.on(PART_SEPARATOR);
+    private static final Splitter FIELD_SPLITTER = Splitter.on(FIELD_SEPARATOR);
     private static final int LOSS_FIELDS = 4;
 
     private final TableService store;
     private final ScheduledExecutorService control;
     private final Clock clock;
-    private final long holdMs;
+    private final long retentionMs;
     private final Map<ContentId, CrashRecord> pending = new LinkedHashMap<>();
     private boolean isWriting;
     private boolean isLoaded;
 
     public QuarantineStore(
-            TableService store, ScheduledExecutorService control, Clock clock, long holdMs) {
+            TableService store, ScheduledExecutorService control, Clock clock, long retentionMs) {
         this.store = checkNotNull(store, "store");
         this.control = checkNotNull(control, "control");
         this.clock = checkNotNull(clock, "clock");
-        this.holdMs = holdMs;
+        this.retentionMs = retentionMs;
     }
 
     /** Reads all stored records, with times converted to this router's clock. */
-    public void load(Consumer<CrashRecord> found) {
-        loadPageAfter("", found);
+    public void load(Consumer<CrashRecord> recordConsumer) {
+        loadPageAfter("", recordConsumer);
     }
 
-    private void loadPageAfter(String key, Consumer<CrashRecord> found) {
+    private void loadPageAfter(String key, Consumer<CrashRecord> recordConsumer) {
         store.list(TABLE, key, PAGE_ROWS, CALL_TIMEOUT_MS)
-                .thenAccept(outcome -> onControl(() -> onPageRead(key, outcome, found)));
+                .thenAccept(outcome -> onControl(() -> onPageRead(key, outcome, recordConsumer)));
     }
 
     private void onPageRead(
-            String key, ReadOutcome<List<Row>> outcome, Consumer<CrashRecord> found) {
+            String key, ReadOutcome<List<Row>> outcome, Consumer<CrashRecord> recordConsumer) {
         if (!(outcome instanceof ReadOutcome.Done<List<Row>> done)) {
-            retryLater(() -> loadPageAfter(key, found), "read");
+            retryLater(() -> loadPageAfter(key, recordConsumer), "read");
             return;
         }
         List<Row> rows = done.value();
-        rows.forEach(r -> handleRow(r, found));
+        rows.forEach(r -> handleRow(r, recordConsumer));
         if (rows.size() < PAGE_ROWS) {
             isLoaded = true;
         } else {
-            loadPageAfter(Iterables.getLast(rows).key().key(), found);
+            loadPageAfter(Iterables.getLast(rows).key().key(), recordConsumer);
         }
     }
 
@@ -106,14 +108,15 @@
     }
 
     /**
-     * Saves a record, or deletes its row if its content is cleared; may be called on any thread.
+     * Saves a record, or deletes its row if no loss of the content counts any more; may be called
+     * on any thread.
      */
     public void save(CrashRecord record) {
         onControl(
                 () -> {
                     // A record that never had two servers was not saved, so it has no row.
-                    boolean matters = record.losses().size() >= MIN_SERVERS;
-                    if (matters && pending.size() < MAX_PENDING) {
+                    boolean hasEnoughServers = record.losses().size() >= MIN_SERVERS;
+                    if (hasEnoughServers && pending.size() < MAX_PENDING) {
                         pending.put(record.content(), record);
                         write();
                     }
@@ -152,8 +155,8 @@
         StringBuilder text = new StringBuilder(Long.toString(clock.wallMs()));
         for (Loss loss : record.shifted(-clock.nowMs()).countedLosses()) {
             ServerIncarnation incarnation = loss.life();
-            text.append(SEPARATOR);
-            Joiner.on(FIELD)
+            text.append(PART_SEPARATOR);
+            Joiner.on(FIELD_SEPARATOR)
                     .appendTo(
                             text,
                             incarnation.id(),
@@ -164,12 +167,12 @@
         return text.toString();
     }
 
-    private void handleRow(Row row, Consumer<CrashRecord> found) {
+    private void handleRow(Row row, Consumer<CrashRecord> recordConsumer) {
         try {
-            List<String> parts = PARTS.splitToList(row.value());
+            List<String> parts = PART_SPLITTER.splitToList(row.value());
             checkArgument(parts.size() >= 2, "no time or no server");
             long ageMs = Math.max(0, clock.wallMs() - Long.parseLong(parts.get(0)));
-            if (ageMs >= holdMs) {
+            if (ageMs >= retentionMs) {
                 remove(row.key());
                 return;
             }
@@ -180,15 +183,13 @@
                             .collect(ImmutableList.toImmutableList());
             CrashRecord record =
                     new CrashRecord(ContentId.of(row.key().key()), losses, ImmutableSet.of());
-            found.accept(record.shifted(clock.nowMs() - ageMs));
+            recordConsumer.accept(record.shifted(clock.nowMs() - ageMs));
         } catch (IllegalArgumentException e) {
             LOG.warn("quarantine: row {} is not understood, {}", row.key(), e.getMessage());
         }
     }
 
-    /**
-     * Deletes an expired row. If this call is lost, the next router that starts deletes the row.
-     */
+    /** Deletes an expired row. If this call fails, the next router that starts deletes the row. */
     private void remove(RowKey key) {
         store.transact(Transaction.builder().delete(key).build(), CALL_TIMEOUT_MS)
                 .thenAccept(
@@ -197,15 +198,15 @@
     }
 
     private static Loss decodeLoss(String text) {
-        List<String> fields = FIELDS.splitToList(text);
+        List<String> fields = FIELD_SPLITTER.splitToList(text);
         checkArgument(fields.size() == LOSS_FIELDS, "%s is not a loss", text);
         ServerIncarnation incarnation =
                 ServerIncarnation.of(EngineId.of(fields.get(0)), Long.parseLong(fields.get(1)));
         return new Loss(incarnation, Long.parseLong(fields.get(2)), Long.parseLong(fields.get(3)));
     }
 
-    private void retryLater(Runnable step, String what) {
-        LOG.info("quarantine: the store could not be reached to {}, retrying", what);
+    private void retryLater(Runnable step, String operation) {
+        LOG.info("quarantine: the store could not be reached to {}, retrying", operation);
         ControlThread.executeAfter(control, step, RETRY_MS, "quarantine");
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/AnswerMetadataRecorder.java
+++ b/masticweir/src/main/java/org/masticweir/relay/AnswerMetadataRecorder.java
@@ -17,7 +17,7 @@
 import org.masticweir.time.Clock;
 
 /**
- * Records what servers announce about themselves in the heads of their answers, and logs and counts
+ * Records the states that servers announce in the headers of their answers, and logs and counts
  * each new announcement; owned by the traffic thread.
  */
 final class AnswerMetadataRecorder {
@@ -27,8 +27,8 @@
     private final SharedLimits limits;
     private final PlatformProtocol protocol;
     private final Clock clock;
-    private final Counter leaving;
-    private final Counter pauses;
+    private final Counter leavingCounter;
+    private final Counter pauseCounter;
 
     AnswerMetadataRecorder(
             ServerNotices notices,
@@ -40,8 +40,8 @@
         this.limits = checkNotNull(limits, "limits");
         this.protocol = checkNotNull(protocol, "protocol");
         this.clock = checkNotNull(clock, "clock");
-        leaving = metrics.counter(MetricName.of("servers_said_leaving_total"));
-        pauses = metrics.counter(MetricName.of("server_pauses_total"));
+        leavingCounter = metrics.counter(MetricName.of("servers_said_leaving_total"));
+        pauseCounter = metrics.counter(MetricName.of("server_pauses_total"));
     }
 
     /**
@@ -56,9 +56,7 @@
         recordAnnouncements(server, metadata, request);
     }
 
-    /**
-     * Records the outcome of a call for the state of a server or for the prompts that it caches.
-     */
+    /** Records the outcome of a call that queries a server's state or its cached prompts. */
     void recordCall(ServerIncarnation server, HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answered) {
             HttpAnswer answer = answered.answer();
@@ -70,7 +68,7 @@
         }
     }
 
-    /** Returns whether a server has asked for a pause that has not ended. */
+    /** Returns whether a server has announced a pause that has not ended. */
     boolean isPausing(ServerIncarnation server) {
         return notices.remainingPauseMs(server, clock.nowMs()) > 0;
     }
@@ -78,7 +76,7 @@
     private void recordAnnouncements(
             ServerIncarnation server, AnswerMetadata metadata, String request) {
         if (metadata.isLeaving() && notices.recordLeaving(server, clock.nowMs())) {
-            leaving.inc();
+            leavingCounter.inc();
             LOG.info("notices: {} leaves, answer to {}", server, request);
         }
         metadata.pauseMs().ifPresent(ms -> recordPause(server, ms, request));
@@ -86,7 +84,7 @@
 
     private void recordPause(ServerIncarnation server, long ms, String request) {
         if (notices.recordPause(server, ms, clock.nowMs())) {
-            pauses.inc();
+            pauseCounter.inc();
             LOG.info("notices: {} takes nothing for {} ms, answer to {}", server, ms, request);
         }
     }
--- a/masticweir/src/main/java/org/masticweir/relay/EarlyConnectionProxy.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EarlyConnectionProxy.java
@@ -16,39 +16,46 @@
 import org.xnio.IoUtils;
 
 /**
- * Forwards bytes in both directions between the router and the connections that callers made before
- * the router listened on its port, until either end closes. It runs on its own thread, which ends
- * with the last connection.
+ * Forwards bytes in both directions between the router and the connections that callers opened
+ * before the router listened on its port, until the caller or the router closes its end. The proxy
+ * has its own thread, which ends with the last connection.
  *
- * <p>The I/O library opens its own sockets and can't adopt existing ones. Only the connections made
- * during one start are forwarded, some dozens; copying their bytes costs less than their callers
- * would lose.
+ * <p>The I/O library opens its own sockets and can't adopt existing ones. The proxy forwards only
+ * the connections of one router start, some dozens. Copying their bytes costs less than the loss of
+ * their requests.
  */
 final class EarlyConnectionProxy implements AutoCloseable {
     private static final Logger LOG = LogManager.getLogger(EarlyConnectionProxy.class);
 
-    /** Buffer size for one direction of one connection; an event has less than a tenth of it. */
+    /**
+     * Buffer size for one direction of one connection; an event takes less than a tenth of this
+     * size.
+     */
     private static final int BUFFER_BYTES = 8 << 10;
 
     private final Selector selector;
-    private final InetSocketAddress router;
+    private final InetSocketAddress routerAddress;
 
     /**
-     * Number of pairs that are not closed; confined to the thread. The selector's key set can't be
-     * used for this: a closed key stays in it until the next selection, which may wait forever.
+     * Number of open pairs; confined to the proxy's thread. The selector's key set can't provide
+     * this number: closed keys stay in the set until the next selection, which may wait forever.
      */
-    private int openPairs;
+    private int openPairCount;
 
-    private EarlyConnectionProxy(Selector selector, InetSocketAddress router) {
+    private EarlyConnectionProxy(Selector selector, InetSocketAddress routerAddress) {
         this.selector = selector;
-        this.router = router;
+        this.routerAddress = routerAddress;
     }
 
-    /** Starts to forward between {@code callers} and the router that listens at {@code router}. */
-    static EarlyConnectionProxy start(List<SocketChannel> callers, InetSocketAddress router) {
-        checkNotNull(router, "router");
+    /**
+     * Starts to forward between {@code callers} and the router that listens at {@code
+     * routerAddress}.
+     */
+    static EarlyConnectionProxy start(
+            List<SocketChannel> callers, InetSocketAddress routerAddress) {
+        checkNotNull(routerAddress, "routerAddress");
         try {
-            EarlyConnectionProxy proxy = new EarlyConnectionProxy(Selector.open(), router);
+            EarlyConnectionProxy proxy = new EarlyConnectionProxy(Selector.open(), routerAddress);
             LOG.info("router: {} callers connected while it started", callers.size());
             Thread thread = new Thread(() -> proxy.run(callers), "early-connections");
             thread.setDaemon(true);
@@ -67,8 +74,8 @@
     private void run(List<SocketChannel> callers) {
         callers.forEach(this::addPair);
         try {
-            while (openPairs > 0) {
-                selector.select(key -> ((Pair) key.attachment()).forwardBytes());
+            while (openPairCount > 0) {
+                selector.select(key -> ((ConnectionPair) key.attachment()).forwardBytes());
             }
             selector.close();
         } catch (ClosedSelectorException e) {
@@ -79,8 +86,8 @@
     }
 
     private void addPair(SocketChannel caller) {
-        Pair pair = new Pair(caller);
-        openPairs++;
+        ConnectionPair pair = new ConnectionPair(caller);
+        openPairCount++;
         try {
             caller.configureBlocking(false);
             if (pair.readCaller()) {
@@ -95,7 +102,7 @@
     }
 
     /** A caller's connection and the corresponding connection to the router. */
-    private final class Pair {
+    private final class ConnectionPair {
         private final SocketChannel caller;
         private final ByteBuffer toRouter = ByteBuffer.allocate(BUFFER_BYTES);
         private final ByteBuffer toCaller = ByteBuffer.allocate(BUFFER_BYTES);
@@ -104,15 +111,16 @@
         private SelectionKey routerKey;
         private boolean isClosed;
 
-        Pair(SocketChannel caller) {
+        ConnectionPair(SocketChannel caller) {
             this.caller = caller;
         }
 
         /**
-         * Reads what the caller has sent; returns whether the caller has closed its connection.
+         * Reads the bytes that the caller has sent; returns whether the caller has closed its
+         * connection.
          *
-         * <p>Without this check, the request of a caller that has given up because nobody read it
-         * would still run.
+         * <p>Without this check, the request of a caller that has already disconnected would still
+         * run.
          */
         boolean readCaller() throws IOException {
             while (toRouter.hasRemaining()) {
@@ -125,7 +133,7 @@
         }
 
         void connect() throws IOException {
-            routerChannel = SocketChannel.open(router);
+            routerChannel = SocketChannel.open(routerAddress);
             routerChannel.configureBlocking(false);
             callerKey = caller.register(selector, 0, this);
             routerKey = routerChannel.register(selector, 0, this);
@@ -135,9 +143,9 @@
         /**
          * Forwards the bytes that can be read and written now, and sets the operations to wait for.
          *
-         * <p>The last bytes of a caller are forwarded only after a read has found nothing after
-         * them. If a close is read together with them, the pair is closed, and the router does not
-         * receive a complete request.
+         * <p>The last bytes of a caller are forwarded only after a further read. If that read
+         * detects a close, the pair is closed and these bytes are dropped, so that the router does
+         * not receive a complete request.
          */
         void forwardBytes() {
             try {
@@ -146,40 +154,40 @@
                     return;
                 }
                 write(toRouter, routerChannel);
-                boolean answered = routerChannel.read(toCaller) < 0;
+                boolean isAnswerComplete = routerChannel.read(toCaller) < 0;
                 write(toCaller, caller);
-                if (answered && toCaller.position() == 0) {
+                if (isAnswerComplete && toCaller.position() == 0) {
                     close();
                     return;
                 }
-                callerKey.interestOps(interest(toRouter, toCaller));
-                routerKey.interestOps(interest(toCaller, toRouter));
+                callerKey.interestOps(interestOps(toRouter, toCaller));
+                routerKey.interestOps(interestOps(toCaller, toRouter));
             } catch (IOException e) {
                 LOG.debug("router: early connection closed, {}", e.getMessage());
                 close();
             }
         }
 
-        private void write(ByteBuffer buffer, SocketChannel to) throws IOException {
+        private void write(ByteBuffer buffer, SocketChannel target) throws IOException {
             buffer.flip();
-            to.write(buffer);
+            target.write(buffer);
             buffer.compact();
         }
 
         /**
-         * Reads a channel while its buffer has space, and writes to it while the other buffer has
-         * bytes.
+         * Returns the operations of a channel: read if {@code readBuffer} has space, write if
+         * {@code writeBuffer} has bytes.
          */
-        private int interest(ByteBuffer read, ByteBuffer written) {
-            int reads = read.hasRemaining() ? SelectionKey.OP_READ : 0;
-            int writes = written.position() > 0 ? SelectionKey.OP_WRITE : 0;
+        private int interestOps(ByteBuffer readBuffer, ByteBuffer writeBuffer) {
+            int reads = readBuffer.hasRemaining() ? SelectionKey.OP_READ : 0;
+            int writes = writeBuffer.position() > 0 ? SelectionKey.OP_WRITE : 0;
             return reads | writes;
         }
 
         void close() {
             if (!isClosed) {
                 isClosed = true;
-                openPairs--;
+                openPairCount--;
             }
             IoUtils.safeClose(caller);
             IoUtils.safeClose(routerChannel);
--- a/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
+++ b/masticweir/src/main/java/org/masticweir/relay/EventRelay.java
@@ -10,84 +10,83 @@
 import org.masticweir.http.HttpHead;
 
 /**
- * Forwards the events of one stream to its caller, each exactly once, whichever server sends them;
- * runs on the traffic thread.
+ * Forwards each event of one stream to the caller exactly once, even if several servers send the
+ * event; runs on the traffic thread.
  */
 final class EventRelay {
     private final RelayContext context;
-    private final RequestParameters plan;
+    private final RequestParameters params;
     private final RequestStateMachine machine;
-    private final CallerAnswerWriter answer;
+    private final CallerAnswerWriter writer;
     private final RelayMetrics.RequestMetrics metrics;
     private final RequestLog log;
 
-    private long firstMs;
-    private long lastMs;
+    private long firstEventMs;
+    private long lastEventMs;
     private boolean isResuming;
 
     EventRelay(
             RelayContext context,
-            RequestParameters plan,
+            RequestParameters params,
             RequestStateMachine machine,
-            CallerAnswerWriter answer,
+            CallerAnswerWriter writer,
             RelayMetrics.RequestMetrics metrics,
             RequestLog log) {
         this.context = checkNotNull(context, "context");
-        this.plan = checkNotNull(plan, "plan");
+        this.params = checkNotNull(params, "params");
         this.machine = checkNotNull(machine, "machine");
-        this.answer = checkNotNull(answer, "answer");
+        this.writer = checkNotNull(writer, "writer");
         this.metrics = checkNotNull(metrics, "metrics");
         this.log = checkNotNull(log, "log");
     }
 
-    /**
-     * Records that the server of the events so far was lost; the next event comes from another
-     * server.
-     */
+    /** Records the loss of the current server; the next event comes from another send. */
     void handleServerLoss() {
-        isResuming = answer.isStreaming();
+        isResuming = writer.isStreaming();
     }
 
-    /** Forwards an event of {@code server}, unless the caller already has it. */
+    /** Forwards an event of {@code server}, unless the caller has already received the event. */
     void forward(
             BackendServer server, HttpHead head, ByteBuffer bytes, OptionalLong id, long nowMs) {
-        if (callerHas(id)) {
+        if (hasCallerReceived(id)) {
             return;
         }
-        if (!answer.isStreaming()) {
-            firstMs = nowMs;
-            metrics.recordFirstEvent(nowMs - plan.receivedMs());
+        if (!writer.isStreaming()) {
+            firstEventMs = nowMs;
+            metrics.recordFirstEvent(nowMs - params.receivedMs());
             startEventStream(head);
         } else if (isResuming) {
             isResuming = false;
-            context.metrics().recordResume(server, nowMs - lastMs);
-            log.logResume(server, nowMs - lastMs);
+            context.metrics().recordResume(server, nowMs - lastEventMs);
+            log.logResume(server, nowMs - lastEventMs);
         }
-        lastMs = nowMs;
+        lastEventMs = nowMs;
         id.ifPresent(machine::onEvent);
-        answer.sendEvent(bytes);
+        writer.sendEvent(bytes);
     }
 
-    /**
-     * Handles the end of the events of a server; the caller of this method then ends the answer.
-     */
+    /** Handles the end of a server's events; the caller of this method must then end the answer. */
     void handleEnd(HttpHead head, long nowMs) {
-        if (answer.isStreaming()) {
-            context.durations().observe(plan.size(), firstMs - plan.receivedMs(), nowMs - firstMs);
+        if (writer.isStreaming()) {
+            context.streamDurations()
+                    .recordStream(
+                            params.size(),
+                            firstEventMs - params.receivedMs(),
+                            nowMs - firstEventMs);
         } else {
-            // If the caller already has all events, the answer has a head and an end only.
+            // If the caller already has all events, the answer consists of headers only.
             startEventStream(head);
         }
     }
 
-    private boolean callerHas(OptionalLong id) {
+    private boolean hasCallerReceived(OptionalLong id) {
         return id.isPresent()
                 && machine.lastEventId().isPresent()
                 && id.getAsLong() <= machine.lastEventId().getAsLong();
     }
 
     private void startEventStream(HttpHead head) {
-        answer.startEventStream(
+        writer.startEventStream(
                 new HttpHead(head.status(), context.protocol().headersToCaller(head.headers())));
     }
 }
--- a/masticweir/src/main/java/org/masticweir/relay/PromptCacheClient.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptCacheClient.java
@@ -16,59 +16,65 @@
 import org.masticweir.time.Clock;
 
 /**
- * Asks engines which prompts they have in their cache; owned by the traffic thread.
+ * Queries engines for the prompts in their caches; owned by the traffic thread.
  *
- * <p>A router that has just started receives a dozen streams at once, and asks two dozen engines
- * for each. One answer of an engine is therefore shared by all queries within a short time.
+ * <p>A router that has just started receives a dozen streams at once, and queries two dozen engines
+ * for each stream. All queries to an engine within a short time therefore share one answer.
  */
 final class PromptCacheClient {
     private static final Logger LOG = LogManager.getLogger(PromptCacheClient.class);
 
     /**
-     * Timeout of a query, in ms, long enough for a router whose code is not compiled yet: a third
-     * of the prefill of a long prompt. A caller that came back has already had a longer pause.
+     * Timeout of a query, in ms, long enough for a router whose code is not compiled yet. It is a
+     * third of the prefill time of a long prompt. A caller that has reconnected has already waited
+     * for longer.
      */
     static final long TIMEOUT_MS = 300;
 
-    /** How long an answer is reused for other queries, in ms; engines cache prompts for seconds. */
+    /**
+     * Time for which an answer is reused for other queries, in ms; engines cache prompts for
+     * seconds.
+     */
     private static final long REUSE_MS = 300;
 
-    private final HttpCaller calls;
+    private final HttpCaller httpCaller;
     private final PlatformProtocol protocol;
-    private final AnswerMetadataRecorder answerMetadata;
+    private final AnswerMetadataRecorder metadataRecorder;
     private final Clock clock;
     private final Map<ServerIncarnation, Query> queries = new HashMap<>();
 
     /** One query to an engine. */
-    private record Query(long atMs, CompletableFuture<ImmutableSet<PromptId>> answer) {}
+    private record Query(long sentMs, CompletableFuture<ImmutableSet<PromptId>> answer) {}
 
     PromptCacheClient(
-            HttpCaller calls,
+            HttpCaller httpCaller,
             PlatformProtocol protocol,
-            AnswerMetadataRecorder answerMetadata,
+            AnswerMetadataRecorder metadataRecorder,
             Clock clock) {
-        this.calls = checkNotNull(calls, "calls");
+        this.httpCaller = checkNotNull(httpCaller, "httpCaller");
         this.protocol = checkNotNull(protocol, "protocol");
-        this.answerMetadata = checkNotNull(answerMetadata, "answerMetadata");
+        this.metadataRecorder = checkNotNull(metadataRecorder, "metadataRecorder");
         this.clock = checkNotNull(clock, "clock");
     }
 
     /**
-     * Returns the prompts that {@code engine} caches; an empty set if it does not answer in time.
+     * Returns the prompts in the cache of {@code engine}; an empty set if the engine does not
+     * answer in time.
      */
     CompletableFuture<ImmutableSet<PromptId>> cachedPrompts(BackendServer engine) {
         long now = clock.nowMs();
-        queries.values().removeIf(a -> now - a.atMs() > REUSE_MS);
+        queries.values().removeIf(a -> now - a.sentMs() > REUSE_MS);
         return queries.computeIfAbsent(
                         engine.incarnation(), incarnation -> new Query(now, query(engine)))
                 .answer();
     }
 
     private CompletableFuture<ImmutableSet<PromptId>> query(BackendServer engine) {
-        return calls.call(protocol.promptsCall(engine), TIMEOUT_MS)
+        return httpCaller
+                .call(protocol.promptsCall(engine), TIMEOUT_MS)
                 .thenApply(
                         outcome -> {
-                            answerMetadata.recordCall(engine.incarnation(), outcome);
+                            metadataRecorder.recordCall(engine.incarnation(), outcome);
                             return parse(outcome);
                         });
     }
--- a/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
+++ b/masticweir/src/main/java/org/masticweir/relay/PromptSearch.java
@@ -10,25 +10,25 @@
 import org.masticweir.id.PromptId;
 
 /**
- * Asks engines in parallel whether they cache a prompt, and returns the first that does; runs on
- * the traffic thread.
+ * Queries the prompt caches of several engines in parallel, and returns the first engine that has a
+ * prompt in its cache; runs on the traffic thread.
  */
 final class PromptSearch {
     private final PromptId prompt;
     private final Consumer<Optional<BackendServer>> callback;
-    private int pendingAnswers;
+    private int pendingAnswerCount;
     private boolean isEnded;
 
     private PromptSearch(
-            PromptId prompt, int askedCount, Consumer<Optional<BackendServer>> callback) {
+            PromptId prompt, int engineCount, Consumer<Optional<BackendServer>> callback) {
         this.prompt = checkNotNull(prompt, "prompt");
         this.callback = checkNotNull(callback, "callback");
-        pendingAnswers = askedCount;
+        pendingAnswerCount = engineCount;
     }
 
     /**
-     * Calls {@code callback} once with the first of {@code engines} that is found to cache {@code
-     * prompt}, or with nothing if none does.
+     * Calls {@code callback} once with the first of {@code engines} that reports {@code prompt} as
+     * cached, or with an empty value if no engine does.
      */
     static void start(
             ImmutableList<BackendServer> engines,
@@ -43,10 +43,10 @@
     }
 
     private void handleAnswer(BackendServer engine, ImmutableSet<PromptId> prompts) {
-        pendingAnswers--;
+        pendingAnswerCount--;
         if (prompts.contains(prompt)) {
             end(Optional.of(engine));
-        } else if (pendingAnswers == 0) {
+        } else if (pendingAnswerCount == 0) {
             end(Optional.empty());
         }
     }
--- a/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RelayHandler.java
@@ -55,10 +55,10 @@
         }
     }
 
-    /** A request whose head was accepted, and what was found for it in the catalog. */
-    private record Admitted(
+    /** A request whose headers were accepted, with its entries of the catalog. */
+    private record AdmittedRequest(
             HttpHeaders headers,
-            RequestMetadata caller,
+            RequestMetadata metadata,
             Route route,
             Optional<TeamId> team,
             ServiceName service,
@@ -71,7 +71,7 @@
         ExchangeCompletion.addListener(exchange, connections, admission::requestEnded);
         exchange.addResponseCommitListener(this::closeConnectionIfDraining);
         try {
-            Admitted admitted = admit(exchange, context.view().get());
+            AdmittedRequest admitted = admit(exchange, context.view().get());
             readBody(exchange, admitted);
         } catch (Refusal refusal) {
             refuse(exchange, refusal);
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Ends the connection with the answer if the router drains by then. Checked when the answer
-     * begins, as the shutdown may start after the request did.
+     * Marks the connection to be closed after the answer if the router is draining. This check runs
+     * at the start of the answer, because the shutdown may start after the request.
      */
     private void closeConnectionIfDraining(HttpServerExchange exchange) {
         if (admission.isDraining()) {
@@ -91,7 +91,7 @@
         }
     }
 
-    private Admitted admit(HttpServerExchange exchange, RelayView view) throws Refusal {
+    private AdmittedRequest admit(HttpServerExchange exchange, RelayView view) throws Refusal {
         long now = context.clock().nowMs();
         checkFraming(exchange);
         if (view.catalog().isEmpty()) {
@@ -103,44 +103,44 @@
         Route route =
                 catalog.route(host, exchange.getRequestURI())
                         .orElseThrow(() -> notFound(view, ErrorCode.NOT_FOUND, "no such route"));
-        RequestMetadata caller = parseMetadata(headers);
-        checkAdmission(route, caller, now, false);
-        Optional<Team> team = team(view, catalog, route, caller);
-        ServiceName service = route.service(caller.requestId().hashCode());
+        RequestMetadata metadata = parseMetadata(headers);
+        checkAdmission(route, metadata, now, false);
+        Optional<Team> team = team(view, catalog, route, metadata);
+        ServiceName service = route.service(metadata.requestId().hashCode());
         Optional<EngineSpec> engine = catalog.service(service).flatMap(ServiceSpec::engine);
         exchange.setMaxEntitySize(catalog.limits().maxBodyBytes());
         if (exchange.getRequestContentLength() > catalog.limits().maxBodyBytes()) {
             throw new Refusal(ErrorCode.BODY_TOO_LARGE, "the body is too long");
         }
-        return new Admitted(headers, caller, route, team.map(Team::id), service, engine, now);
+        return new AdmittedRequest(
+                headers, metadata, route, team.map(Team::id), service, engine, now);
     }
 
     /**
-     * Refuses a request that may not end before this router exits.
+     * Refuses a request that might not end before this router exits.
      *
-     * <p>A head that arrives early does not show when its body will be complete. A request whose
-     * body is complete only late would be cut off at its server, so this is checked again after the
-     * body.
+     * <p>Called after the headers and again after the body, because a body may be complete long
+     * after its headers. Without the second check, a request with a late body would be interrupted
+     * at its server.
      *
-     * @param isComplete whether the body has been read, too; this is called before and after
-     *     reading it
+     * @param isBodyRead whether the body has been read
      */
     private void checkAdmission(
-            Route route, RequestMetadata caller, long receivedMs, boolean isComplete)
+            Route route, RequestMetadata metadata, long receivedMs, boolean isBodyRead)
             throws Refusal {
         long now = context.clock().nowMs();
         OptionalLong expectedMs =
                 route.streams()
-                        ? context.durations().expectedMs(caller.size())
-                        : OptionalLong.of(receivedMs + timeoutMs(route, caller) - now);
+                        ? context.streamDurations().expectedDurationMs(metadata.size())
+                        : OptionalLong.of(receivedMs + timeoutMs(route, metadata) - now);
         boolean isAdmitted =
                 route.streams()
                         ? admission.admitsStream(expectedMs, now)
                         : admission.admits(expectedMs.getAsLong(), now);
-        if (admission.isDraining() && (isComplete || !isAdmitted)) {
+        if (admission.isDraining() && (isBodyRead || !isAdmitted)) {
             LOG.info(
                     "relay: request {} {} {} ms after the order to leave, it needs {} ms of {} ms",
-                    caller.requestId(),
+                    metadata.requestId(),
                     isAdmitted ? "taken" : "not taken",
                     admission.drainingForMs(now),
                     expectedMs.isPresent() ? expectedMs.getAsLong() : "unknown",
@@ -152,20 +152,20 @@
     }
 
     /** Returns the longest time that the request can take. */
-    private static long timeoutMs(Route route, RequestMetadata caller) {
-        return Math.min(caller.timeoutMs().orElse(Long.MAX_VALUE), route.timeoutMs());
+    private static long timeoutMs(Route route, RequestMetadata metadata) {
+        return Math.min(metadata.timeoutMs().orElse(Long.MAX_VALUE), route.timeoutMs());
     }
 
     /**
      * Refuses a request whose length is ambiguous.
      *
-     * <p>Prevents request smuggling: if the router used one length and a server the other, the rest
-     * of the body would run at the server as a request that no caller sent.
+     * <p>Prevents request smuggling: if the router used the first length and a server used the
+     * second, the server would run the rest of the body as a request that no caller sent.
      */
     private static void checkFraming(HttpServerExchange exchange) throws Refusal {
-        int lengths = count(exchange, Headers.CONTENT_LENGTH_STRING);
-        int encodings = count(exchange, Headers.TRANSFER_ENCODING_STRING);
-        if (lengths + encodings > 1) {
+        int lengthCount = count(exchange, Headers.CONTENT_LENGTH_STRING);
+        int encodingCount = count(exchange, Headers.TRANSFER_ENCODING_STRING);
+        if (lengthCount + encodingCount > 1) {
             throw new Refusal(ErrorCode.BAD_REQUEST, "two lengths");
         }
     }
@@ -185,11 +185,11 @@
     }
 
     private static Optional<Team> team(
-            RelayView view, Catalog catalog, Route route, RequestMetadata caller) throws Refusal {
+            RelayView view, Catalog catalog, Route route, RequestMetadata metadata) throws Refusal {
         if (!catalog.hasTeams() || route.open()) {
             return Optional.empty();
         }
-        Optional<Team> team = caller.teamKey().flatMap(catalog::teamOf);
+        Optional<Team> team = metadata.teamKey().flatMap(catalog::teamOf);
         if (team.isEmpty()) {
             throw notFound(view, ErrorCode.UNAUTHORIZED, "no such key");
         }
@@ -197,11 +197,11 @@
     }
 
     /**
-     * Returns the refusal for something that this router's catalog lacks: a definite error if the
-     * catalog is up to date, and a retryable one otherwise.
+     * Returns the refusal of a request whose route or key is not in this router's catalog: a
+     * definite error if the catalog is up to date, and a retryable error otherwise.
      *
-     * <p>A router that has received no updates for a while may lack what a newer catalog has.
-     * Callers don't retry after a definite error, but they do after the other one.
+     * <p>The route or key may be in a newer catalog that this router has not received yet. Callers
+     * retry only after the retryable error.
      */
     private static Refusal notFound(RelayView view, ErrorCode code, String reason) {
         return view.isCatalogFresh()
@@ -209,7 +209,7 @@
                 : new Refusal(ErrorCode.NO_CONFIGURATION, "the configuration may be old");
     }
 
-    private void readBody(HttpServerExchange exchange, Admitted admitted) {
+    private void readBody(HttpServerExchange exchange, AdmittedRequest admitted) {
         Receiver receiver = exchange.getRequestReceiver();
         receiver.receiveFullBytes(
                 (ex, body) ->
@@ -219,44 +219,44 @@
                 (ex, e) -> {
                     LOG.info(
                             "relay: body of request {} could not be read, {}",
-                            admitted.caller().requestId(),
+                            admitted.metadata().requestId(),
                             e.getMessage());
-                    boolean tooLong = e instanceof Receiver.RequestToLargeException;
+                    boolean isTooLong = e instanceof Receiver.RequestToLargeException;
                     ex.setPersistent(false);
                     refuse(
                             ex,
                             new Refusal(
-                                    tooLong ? ErrorCode.BODY_TOO_LARGE : ErrorCode.BAD_REQUEST,
+                                    isTooLong ? ErrorCode.BODY_TOO_LARGE : ErrorCode.BAD_REQUEST,
                                     "the body could not be read"));
                 });
     }
 
-    private void startOrRefuse(HttpServerExchange exchange, Admitted admitted, byte[] body) {
+    private void startOrRefuse(HttpServerExchange exchange, AdmittedRequest admitted, byte[] body) {
         try {
-            checkAdmission(admitted.route(), admitted.caller(), admitted.receivedMs(), true);
+            checkAdmission(admitted.route(), admitted.metadata(), admitted.receivedMs(), true);
             start(exchange, admitted, body);
         } catch (Refusal refusal) {
             refuse(exchange, refusal);
         }
     }
 
-    private void start(HttpServerExchange exchange, Admitted admitted, byte[] body) {
-        long timeoutMs = timeoutMs(admitted.route(), admitted.caller());
-        RequestParameters plan =
+    private void start(HttpServerExchange exchange, AdmittedRequest admitted, byte[] body) {
+        long timeoutMs = timeoutMs(admitted.route(), admitted.metadata());
+        RequestParameters params =
                 new RequestParameters(
                         admitted.route(),
                         admitted.service(),
                         admitted.engine(),
-                        admitted.caller().size(),
-                        admitted.caller().prompt(),
-                        admitted.caller().lastEventId(),
+                        admitted.metadata().size(),
+                        admitted.metadata().prompt(),
+                        admitted.metadata().lastEventId(),
                         admitted.receivedMs(),
                         admitted.receivedMs() + timeoutMs);
         RelayRequest request =
                 RelayRequest.of(
                         exchange,
-                        plan,
-                        admitted.caller(),
+                        params,
+                        admitted.metadata(),
                         admitted.team(),
                         admitted.headers(),
                         body);
@@ -270,7 +270,7 @@
                 exchange.getRequestURI(),
                 refusal.code,
                 refusal.getMessage());
-        context.metrics().countRefusedUnread(refusal.code);
+        context.metrics().countEarlyRefusal(refusal.code);
         new CallerAnswerWriter(exchange, () -> {})
                 .sendError(refusal.code, retryAfterMs(refusal.code), refusal.getMessage());
     }
--- a/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
+++ b/masticweir/src/main/java/org/masticweir/relay/RequestLog.java
@@ -29,7 +29,7 @@
     RequestLog(RelayContext context, RelayRequest request) {
         this.context = checkNotNull(context, "context");
         id = request.id();
-        receivedMs = request.plan().receivedMs();
+        receivedMs = request.params().receivedMs();
     }
 
     /** Logs a send; {@code number} counts the sends of the request from 1. */
@@ -50,16 +50,16 @@
                 context.view().get().catalog().map(Catalog::version).orElse(0L));
     }
 
-    /** Logs which engine has the request's prompt in its cache. */
-    void logPromptSearch(int askedCount, Optional<BackendServer> engine) {
+    /** Logs the result of a prompt cache query. */
+    void logPromptSearch(int engineCount, Optional<BackendServer> engine) {
         LOG.info(
                 "relay: request {}: its prompt is kept by {}, {} engines asked",
                 id,
                 engine.map(e -> e.id().value()).orElse("none"),
-                askedCount);
+                engineCount);
     }
 
-    /** Logs an event at the server of the send that was sent at {@code sentMs}. */
+    /** Logs an event of the send to {@code server} that started at {@code sentMs}. */
     void logServerEvent(BackendServer server, String what, long sentMs) {
         LOG.info(
                 "relay: request {}: {} in {} {} after {} ms",
@@ -71,10 +71,11 @@
     }
 
     /**
-     * Logs that the send of {@code sentMs} ended without a complete answer, after {@code events}
-     * events.
+     * Logs that the send that started at {@code sentMs} ended without a complete answer, after
+     * {@code eventCount} events.
      */
-    void logLoss(BackendServer server, String what, long sentMs, int events, ContentId content) {
+    void logLoss(
+            BackendServer server, String what, long sentMs, int eventCount, ContentId content) {
         LOG.info(
                 "relay: request {}: {} in {} {} after {} ms and {} events, content {}",
                 id,
@@ -82,7 +83,7 @@
                 server.domain(),
                 what,
                 context.clock().nowMs() - sentMs,
-                events,
+                eventCount,
                 content);
     }
 
@@ -103,7 +104,8 @@
     }
 
     /**
-     * Logs the report of an engine that has not started the request in time, or that there is none.
+     * Logs the report of an engine that has not started the request in time; an empty value means
+     * that the engine sent no report.
      */
     void logReport(BackendServer server, Optional<EngineReport> report, long sentMs) {
         logServerEvent(
@@ -146,8 +148,8 @@
                 end.reason());
     }
 
-    /** Logs that the caller disconnected; {@code stage} states how far the request had come. */
-    void logCallerLeft(String stage) {
+    /** Logs that the caller disconnected; {@code stage} describes the progress of the request. */
+    void logCallerDisconnect(String stage) {
         LOG.info("relay: request {} was left by its caller after {} ms, {}", id, ageMs(), stage);
     }
 
--- a/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
+++ b/masticweir/src/main/java/org/masticweir/relay/ServerSend.java
@@ -19,60 +19,62 @@
  * One send of a request to a server; checks the answer before it is passed on. Runs on the traffic
  * thread.
  *
- * <p>Each send has its own connection: a late or duplicate answer then can't be taken for the
- * answer to another request, and a connection that its server has just closed is never used. New
- * connections cost 2 in 1,000 of what requests earn, measured on a calm day.
+ * <p>Each send has its own connection. A late or duplicate answer therefore can't be taken for the
+ * answer to another request, and no send uses a connection that its server has just closed. New
+ * connections cost 2 in 1,000 of the earnings of requests on a day without failures.
  *
- * <p>If an answer to another request arrives first on the connection, an answer has no signature,
- * or a body is longer than expected, the answer is discarded: the send is lost and its connection
- * is closed.
+ * <p>An answer is discarded if it belongs to another request, has no signature, or has a body that
+ * is longer than expected. The send is then lost and its connection is closed.
  */
 final class ServerSend implements AutoCloseable {
     /** Limit on the size of a complete answer. */
     private static final int MAX_ANSWER_BYTES = 8 << 20;
 
     private final String requestId;
-    private final boolean streams;
+    private final boolean isStreaming;
     private final PlatformProtocol protocol;
     private final SendListener listener;
     private final EventSplitter splitter = new EventSplitter();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private Optional<HttpStream> http = Optional.empty();
+    private Optional<HttpStream> httpStream = Optional.empty();
     private HttpHead head;
     private AnswerMetadata metadata;
     private boolean isEnded;
 
     private ServerSend(
-            String requestId, boolean streams, PlatformProtocol protocol, SendListener listener) {
+            String requestId,
+            boolean isStreaming,
+            PlatformProtocol protocol,
+            SendListener listener) {
         this.requestId = checkNotNull(requestId, "requestId");
-        this.streams = streams;
+        this.isStreaming = isStreaming;
         this.protocol = checkNotNull(protocol, "protocol");
         this.listener = checkNotNull(listener, "listener");
     }
 
     /**
-     * Connects to {@code address} and sends the call that {@code call} then returns.
+     * Connects to {@code address} and sends the call that {@code callSupplier} returns.
      *
-     * @param call evaluated once the connection is established; empty if there is no longer
-     *     anything to send
-     * @param requestId id that the answer must have
-     * @param streams whether a successful answer is an event stream
+     * @param callSupplier evaluated once the connection is established; returns an empty value if
+     *     the request must no longer be sent
+     * @param requestId request id that the answer must have
+     * @param isStreaming whether a successful answer is an event stream
      */
     static ServerSend open(
             XnioIoThread thread,
             ByteBufferPool buffers,
             InetSocketAddress address,
-            Supplier<Optional<HttpCall>> call,
+            Supplier<Optional<HttpCall>> callSupplier,
             long connectTimeoutMs,
             String requestId,
-            boolean streams,
+            boolean isStreaming,
             PlatformProtocol protocol,
             SendListener listener) {
-        ServerSend send = new ServerSend(requestId, streams, protocol, listener);
-        HttpStreamListener bytes = send.new AnswerReader();
+        ServerSend send = new ServerSend(requestId, isStreaming, protocol, listener);
+        HttpStreamListener reader = send.new AnswerReader();
         HttpStream stream =
-                HttpStream.open(thread, buffers, address, call, connectTimeoutMs, bytes);
-        send.http = Optional.of(stream);
+                HttpStream.open(thread, buffers, address, callSupplier, connectTimeoutMs, reader);
+        send.httpStream = Optional.of(stream);
         if (send.isEnded) {
             stream.close();
         }
@@ -83,11 +85,11 @@
     @Override
     public void close() {
         isEnded = true;
-        http.ifPresent(HttpStream::close);
+        httpStream.ifPresent(HttpStream::close);
     }
 
     private boolean isEventStream() {
-        return streams && head.isSuccess();
+        return isStreaming && head.isSuccess();
     }
 
     private void discard(String reason) {
@@ -166,11 +168,11 @@
         }
 
         @Override
-        public void lost(boolean sent) {
+        public void lost(boolean isSent) {
             if (isEnded) {
                 return;
             }
-            if (sent) {
+            if (isSent) {
                 discard("the connection broke");
                 return;
             }
--- a/masticweir/src/main/java/org/masticweir/relay/SharedRetryPermits.java
+++ b/masticweir/src/main/java/org/masticweir/relay/SharedRetryPermits.java
@@ -10,7 +10,10 @@
 import org.masticweir.permits.SharedPermits;
 import org.masticweir.time.Clock;
 
-/** Permits for retries beyond what a router's own requests allow; owned by the traffic thread. */
+/**
+ * Requests permits for retries that exceed a router's own retry budget; owned by the traffic
+ * thread.
+ */
 final class SharedRetryPermits {
     private final ServiceRetryBudgets retryBudgets;
     private final SharedPermits permits;
@@ -30,7 +33,7 @@
      */
     void request(ServiceName service, int urgency, Consumer<PermitDecision> callback) {
         permits.request(
-                PermitKey.ofRepeats(service),
+                PermitKey.ofRetries(service),
                 urgency,
                 retryBudgets.allowance().orElseThrow(),
                 decision -> {
--- a/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
+++ b/masticweir/src/test/java/org/masticweir/claims/ClaimPropertyTest.java
@@ -17,10 +17,10 @@
     private static final int STEPS = 250;
 
     /**
-     * Guards against a letter that is sent twice, or sent after its caller was refused. The same
-     * letter is submitted at two routers; responses of the table are lost or late, routers crash
-     * between any two steps, and the table has outages. The cause would be two claims that both
-     * permit a send, or a claim that permits one after its caller was refused.
+     * Guards against a letter that is sent twice, or that is sent after its caller was refused. The
+     * same letter is submitted at two routers; responses of the table are lost or late, routers
+     * crash between any two steps, and the table has outages. The cause would be two claims that
+     * both permit a send, or a claim that permits one after its caller was refused.
      */
     @Property(seed = "7", tries = 4_000, shrinking = ShrinkingMode.OFF)
     void runsAtMostOnceAndNotRunIsTrue(@ForAll long seed) {
@@ -30,14 +30,15 @@
     }
 
     /**
-     * The same when routers write each other's claims. Two routers act as the writer at once, one
-     * crashes with writes in its queue, and messages are lost, late, duplicated and reordered. The
-     * cause would be a late insert by a former writer that is committed after its claimant released
-     * the claim, or a response to another write that is taken for a permission.
+     * Guards against the same fault when routers write each other's claims. Two routers act as the
+     * writer at once, one crashes with writes in its queue, and messages are lost, late, duplicated
+     * and reordered. The cause would be a late insert by a former writer that is committed after
+     * its claimant released the claim, or a response to another write that is mistaken for a
+     * permission.
      */
     @Property(seed = "11", tries = 4_000, shrinking = ShrinkingMode.OFF)
     void runsAtMostOnceWithDelegatedWrites(@ForAll long seed) {
-        ClaimWorld world = ClaimWorld.sharing(seed).run(3 * STEPS);
+        ClaimWorld world = ClaimWorld.withSharedWrites(seed).run(3 * STEPS);
         assertTrue(world.mostRunsOfOneRequest() <= 1, "a request ran twice");
         assertTrue(world.notRunNeverRan(), "reported as not run, but ran");
     }
@@ -47,15 +48,15 @@
      * policy fails.
      */
     @Example
-    void trustingWritersRunsTwice() {
+    void trustedAcceptanceRunsTwice() {
         int failures = 0;
         long responses = 0;
         long runs = 0;
         long refused = 0;
         for (int seed = 0; seed < 200; seed++) {
-            ClaimWorld plain = ClaimWorld.trustingWriters(seed).run(3 * STEPS);
+            ClaimWorld plain = ClaimWorld.withTrustedAcceptance(seed).run(3 * STEPS);
             failures += plain.mostRunsOfOneRequest() > 1 ? 1 : 0;
-            ClaimWorld world = ClaimWorld.sharing(seed).run(3 * STEPS);
+            ClaimWorld world = ClaimWorld.withSharedWrites(seed).run(3 * STEPS);
             responses += world.writerResponses();
             runs += world.runs();
             refused += world.countVerdicts(Verdict.NOT_RUN);
@@ -97,6 +98,7 @@
                 ClaimStateMachine.of(RowKey.of("claims", "k"), row, policy, 0, 50);
         state.start(0);
         assertEquals(
-                List.of(new ClaimAction.Grant(50)), state.on(new ClaimEvent.Committed(1, 9), 1));
+                List.of(new ClaimAction.Grant(50)),
+                state.onEvent(new ClaimEvent.Committed(1, 9), 1));
     }
 }
--- a/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineWaitTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/RequestStateMachineWaitTest.java
@@ -9,11 +9,11 @@
 import org.masticweir.catalog.BackendServer;
 import org.masticweir.catalog.Repeatability;
 
-/** Tests conditions that held when a request began to wait, but no longer hold when it is sent. */
+/** Tests conditions that change while a request waits before its send. */
 class RequestStateMachineWaitTest {
     private final ForwardFixture fixture = new ForwardFixture().domain("a", 3).domain("b", 3);
 
-    private static Step.Send send(Step step) {
+    private static Step.Send asSend(Step step) {
         return assertInstanceOf(Step.Send.class, step);
     }
 
@@ -24,10 +24,12 @@
         }
     }
 
-    /** Returns a stream that was lost and has requested a retry permit. */
+    /**
+     * Returns the state machine of a stream that lost its server and has requested a retry permit.
+     */
     private RequestStateMachine waitingForRetryPermit(long nowMs) {
         RequestStateMachine machine = fixture.stateMachine(Repeatability.RESUMABLE, 60);
-        BackendServer first = send(machine.next(nowMs)).server();
+        BackendServer first = asSend(machine.next(nowMs)).server();
         machine.onEvent(3);
         exhaustOwnRetries(nowMs);
         assertInstanceOf(Step.AcquireRetryPermit.class, machine.onSendLost(first, nowMs));
@@ -35,7 +37,8 @@
     }
 
     /**
-     * A permit of one window must not be used in a later one: retries would exceed the allowance.
+     * A permit of one window must not be used in a later window: retries would exceed the
+     * allowance.
      */
     @Test
     void permitIsRequestedAgainAfterLongWait() {
@@ -44,7 +47,8 @@
         fixture.servers.clear();
         assertInstanceOf(Step.Wait.class, machine.onRetryDecision(true, 200));
         fixture.servers.addAll(all);
-        assertInstanceOf(Step.AcquireRetryPermit.class, machine.next(200 + HeldPermits.VALID_MS));
+        assertInstanceOf(
+                Step.AcquireRetryPermit.class, machine.next(200 + HeldPermits.PERMIT_VALIDITY_MS));
     }
 
     @Test
@@ -54,17 +58,17 @@
         fixture.servers.clear();
         assertInstanceOf(Step.Wait.class, machine.onRetryDecision(true, 200));
         fixture.servers.addAll(all);
-        send(machine.next(200 + HeldPermits.VALID_MS - 1));
+        asSend(machine.next(200 + HeldPermits.PERMIT_VALIDITY_MS - 1));
     }
 
     /**
-     * A server that announces its leaving during the connect must not receive the request long
-     * after its announcement.
+     * A server that announces during the connect that it is leaving must not receive the request
+     * long after the announcement.
      */
     @Test
     void serverThatLeavesDuringConnectGetsNoRequest() {
         RequestStateMachine machine = fixture.stateMachine(Repeatability.MUTATING, 60);
-        BackendServer chosen = send(machine.next(0)).server();
+        BackendServer chosen = asSend(machine.next(0)).server();
         assertTrue(machine.mayStillSend(chosen, 1));
         fixture.servers.remove(chosen);
         assertFalse(machine.mayStillSend(chosen, 1));
--- a/masticweir/src/test/java/org/masticweir/forward/ServerSelectorTest.java
+++ b/masticweir/src/test/java/org/masticweir/forward/ServerSelectorTest.java
@@ -32,9 +32,9 @@
     }
 
     /**
-     * A report must not end while its copy exists. If the own domain had just lost its engines, the
-     * run is in another domain; if its copy is there too, both are unreachable once the own domain
-     * is cut off.
+     * A report must not end while its copy exists. After the own domain has lost its engines, the
+     * run is in another domain. If the copy is in another domain too, run and copy are unreachable
+     * once the own domain is partitioned.
      */
     @Nested
     class CopyHolders {
@@ -100,8 +100,8 @@
         }
 
         /**
-         * The reports of a domain that is cut off stall if their engines are in other domains
-         * although engines of the own domain were idle.
+         * If a domain is partitioned, its reports at engines in other domains stall. Idle engines
+         * of the own domain must therefore be preferred.
          */
         @Test
         void ofOwnDomainAreChosenWithoutPrefills() {
@@ -112,9 +112,9 @@
         }
 
         /**
-         * If a domain is cut off for seconds, the reports of its callers pause for two seconds when
-         * they run in other domains. This happens if new reports go to idle engines elsewhere
-         * because each engine of the domain runs a report or two.
+         * If a domain is partitioned for seconds, its callers' reports at other domains pause for
+         * two seconds. New reports must therefore not go to idle engines elsewhere just because
+         * each engine of the own domain runs one or two reports.
          */
         @Test
         void ofOwnDomainAreChosenWithFewRequests() {
@@ -146,8 +146,8 @@
         }
 
         /**
-         * All reports pause too long in a burst if each engine runs four prefills at once, a part
-         * of each between two decode steps of its streams.
+         * If each engine runs four concurrent prefills in a burst, all reports pause too long: the
+         * engine processes a part of each prompt between two decode steps.
          */
         @Test
         void withTwoPrefillsAreNotChosen() {
@@ -190,16 +190,16 @@
 
     /**
      * Simulates a burst of prompts at eight routers: 60 prompts a second of 8,200 tokens over 64
-     * engines, with a prefill of 1.1 s. Routers that share their loads keep the maximum number of
-     * concurrent prefills at one engine far below that of routers that know only their own sends.
+     * engines, with a prefill of 1.1 s. Routers that share their loads must cause far fewer
+     * concurrent prefills at one engine than routers that count only their own sends.
      */
     @Nested
     class BurstOverEightRouters {
         private static final int ROUTERS = 8;
         private static final int ENGINES = 64;
         private static final int PROMPTS = 600;
-        private static final long GAP_MS = 17;
-        private static final long READ_MS = 1_100;
+        private static final long ARRIVAL_INTERVAL_MS = 17;
+        private static final long PREFILL_MS = 1_100;
 
         private int maxConcurrentPrefills(boolean isSharingLoad) {
             List<ForwardFixture> routers = new ArrayList<>();
@@ -211,7 +211,7 @@
             List<Runnable> ends = new ArrayList<>();
             int max = 0;
             for (int i = 0; i < PROMPTS; i++) {
-                long now = i * GAP_MS;
+                long now = i * ARRIVAL_INTERVAL_MS;
                 int r = random.nextInt(ROUTERS);
                 ForwardFixture router = routers.get(r);
                 ServerIncarnation engine =
@@ -227,7 +227,7 @@
                 router.loads.recordSend(engine, ForwardFixture.PROMPT);
                 List<Long> until = prefillEndsMs.computeIfAbsent(engine, e -> new ArrayList<>());
                 until.removeIf(ms -> ms <= now);
-                until.add(now + READ_MS);
+                until.add(now + PREFILL_MS);
                 max = Math.max(max, until.size());
                 ends.add(() -> router.loads.recordPrefillEnd(engine, ForwardFixture.PROMPT));
                 ends.add(
@@ -237,8 +237,8 @@
                                 shareLoad(routers, r, engine);
                             }
                         });
-                if (i >= READ_MS / GAP_MS) {
-                    int first = 2 * (i - (int) (READ_MS / GAP_MS));
+                if (i >= PREFILL_MS / ARRIVAL_INTERVAL_MS) {
+                    int first = 2 * (i - (int) (PREFILL_MS / ARRIVAL_INTERVAL_MS));
                     ends.get(first).run();
                     ends.get(first + 1).run();
                 }
--- a/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
+++ b/masticweir/src/test/java/org/masticweir/quarantine/QuarantineTest.java
@@ -20,13 +20,13 @@
 import org.masticweir.quarantine.Quarantine.Change;
 import org.masticweir.quarantine.Quarantine.ContentUpdate;
 
-/** Tests when a content is quarantined and when it is cleared. */
+/** Tests when a content is put into quarantine and when it is no longer suspected. */
 class QuarantineTest {
-    private static final long HOLD_MS = 3_600_000;
+    private static final long MAX_QUARANTINE_MS = 3_600_000;
     private static final ContentId CONTENT = ContentId.of("content");
     private static final RouterId PEER = RouterId.of("r2");
 
-    private final Quarantine quarantine = Quarantine.create(RouterId.of("r1"), HOLD_MS);
+    private final Quarantine quarantine = Quarantine.create(RouterId.of("r1"), MAX_QUARANTINE_MS);
 
     private static ServerIncarnation incarnation(int number) {
         return ServerIncarnation.of(EngineId.of("i-" + number), 1_000 + number);
@@ -40,7 +40,7 @@
     }
 
     private void loseThreeServers(long nowMs) {
-        for (int i = 0; i < Quarantine.LIMIT; i++) {
+        for (int i = 0; i < Quarantine.CRASH_LIMIT; i++) {
             quarantine.recordLoss(CONTENT, loss(i, nowMs), nowMs);
         }
     }
@@ -51,7 +51,7 @@
 
     /** Losses that count, and the limit. */
     @Nested
-    class Evidence {
+    class CountedLosses {
         @Test
         void contentIsRejectedFromTheLimitOn() {
             assertEquals(SendRule.ANY_SERVER, sendRule(0));
@@ -63,12 +63,15 @@
             assertEquals(SendRule.REJECT, sendRule(0));
         }
 
-        /** Two routers had sent the same content to one engine, and both lost it there. */
+        /**
+         * Two routers had sent the same content to one engine, and both observed the loss of this
+         * engine.
+         */
         @Test
         void serverCountsOnceIfSeveralRoutersLostIt() {
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
             ContentUpdate sameServer =
-                    new ContentUpdate(CrashRecord.of(CONTENT).with(loss(1, 0)), false);
+                    new ContentUpdate(CrashRecord.of(CONTENT).withLoss(loss(1, 0)), false);
             assertEquals(Change.NONE, quarantine.handleUpdate(PEER, sameServer, 0));
             assertEquals(Change.NONE, quarantine.recordLoss(CONTENT, loss(1, 0), 0));
             assertEquals(1, quarantine.countedLosses(CONTENT).size());
@@ -89,7 +92,9 @@
             assertEquals(SendRule.REJECT, sendRule(3_000));
         }
 
-        /** The request was sent again at once, and its next server ended before it could begin. */
+        /**
+         * The request was retried at once, and its next server ended before the run could begin.
+         */
         @Test
         void serverThatEndsJustAfterAnotherDoesNotCount() {
             quarantine.recordLoss(CONTENT, new Loss(incarnation(1), 0, 1_000), 1_000);
@@ -101,7 +106,7 @@
         /** A server that restarts under its id and ends again counts as two losses. */
         @Test
         void eachIncarnationOfAServerCounts() {
-            for (int start = 1; start <= Quarantine.LIMIT; start++) {
+            for (int start = 1; start <= Quarantine.CRASH_LIMIT; start++) {
                 ServerIncarnation incarnation = ServerIncarnation.of(EngineId.of("i-1"), start);
                 quarantine.recordLoss(CONTENT, new Loss(incarnation, 0, RUN_MS), RUN_MS);
             }
@@ -109,7 +114,8 @@
         }
 
         /**
-         * Otherwise another server may end while the end of the last one is still being confirmed.
+         * Without this wait, another server might end while the end of the last server is still
+         * being confirmed.
          */
         @Test
         void requestsWaitDuringAnInquiry() {
@@ -140,12 +146,13 @@
             assertEquals(1, quarantine.countedLosses(CONTENT).size());
         }
 
-        /** The update with an old loss arrives after the content was cleared. */
+        /** The update with an old loss arrives after the loss was withdrawn. */
         @Test
         void lateUpdateDoesNotRestoreAWithdrawnLoss() {
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
             quarantine.recordSuccess(CONTENT, 10);
-            ContentUpdate late = new ContentUpdate(CrashRecord.of(CONTENT).with(loss(1, 0)), false);
+            ContentUpdate late =
+                    new ContentUpdate(CrashRecord.of(CONTENT).withLoss(loss(1, 0)), false);
             quarantine.handleUpdate(PEER, late, 30);
             assertEquals(SendRule.ANY_SERVER, sendRule(30));
         }
@@ -159,13 +166,14 @@
         }
 
         /**
-         * Without this, a harmless content that coincided with three crashes is held for an hour.
+         * Without this, a harmless content that coincided with three crashes stays in quarantine
+         * for an hour.
          */
         @Test
-        void contentIsTriedAgainAfterEachHoldWhichGrows() {
+        void quarantineEndsAndGrowsWithEachCrash() {
             loseThreeServers(0);
-            long first = Quarantine.FIRST_HOLD_MS;
-            assertEquals(first - 1_000, quarantine.remainingHoldMs(CONTENT, 1_000));
+            long first = Quarantine.FIRST_QUARANTINE_MS;
+            assertEquals(first - 1_000, quarantine.remainingQuarantineMs(CONTENT, 1_000));
             assertEquals(SendRule.REJECT, sendRule(first - 1));
             assertEquals(SendRule.LEAST_LOADED, sendRule(first));
             quarantine.beginTrial(CONTENT, first);
@@ -176,33 +184,34 @@
             quarantine.endInquiry(CONTENT);
             Change change = quarantine.recordLoss(CONTENT, loss(7, first + 2), first + 2);
             assertEquals(Change.QUARANTINED, change);
-            assertTrue(quarantine.remainingHoldMs(CONTENT, first + 2) > first);
+            assertTrue(quarantine.remainingQuarantineMs(CONTENT, first + 2) > first);
             assertEquals(SendRule.REJECT, sendRule(3 * first));
         }
 
         @Test
-        void contentThatRunsWellAfterItsHoldIsCleared() {
+        void successAfterQuarantineWithdrawsLosses() {
             loseThreeServers(0);
             assertEquals(
-                    Change.CLEARED, quarantine.recordSuccess(CONTENT, Quarantine.FIRST_HOLD_MS));
-            assertEquals(SendRule.ANY_SERVER, sendRule(Quarantine.FIRST_HOLD_MS));
+                    Change.CLEARED,
+                    quarantine.recordSuccess(CONTENT, Quarantine.FIRST_QUARANTINE_MS));
+            assertEquals(SendRule.ANY_SERVER, sendRule(Quarantine.FIRST_QUARANTINE_MS));
         }
 
         @Test
-        void evidenceIsRemovedAfterTheLongestHold() {
+        void lossesAreRemovedAfterMaxQuarantine() {
             loseThreeServers(0);
-            assertEquals(SendRule.ANY_SERVER, sendRule(HOLD_MS));
+            assertEquals(SendRule.ANY_SERVER, sendRule(MAX_QUARANTINE_MS));
         }
 
         /** Without this, routers would keep sending each other an old content forever. */
         @Test
-        void updateOfAnotherRouterDoesNotProlongTheHold() {
+        void updateOfAnotherRouterDoesNotProlongQuarantine() {
             loseThreeServers(0);
-            long halfMs = Quarantine.FIRST_HOLD_MS / 2;
+            long halfMs = Quarantine.FIRST_QUARANTINE_MS / 2;
             ContentUpdate same = quarantine.snapshot(halfMs).get(0);
-            Quarantine other = Quarantine.create(PEER, HOLD_MS);
+            Quarantine other = Quarantine.create(PEER, MAX_QUARANTINE_MS);
             other.handleUpdate(RouterId.of("r1"), same, halfMs);
-            assertEquals(halfMs, other.remainingHoldMs(CONTENT, halfMs));
+            assertEquals(halfMs, other.remainingQuarantineMs(CONTENT, halfMs));
         }
     }
 
@@ -220,7 +229,7 @@
 
         @Test
         void requestsWaitForAPeersTrialUntilThePeerIsLost() {
-            CrashRecord record = CrashRecord.of(CONTENT).with(loss(1, 0));
+            CrashRecord record = CrashRecord.of(CONTENT).withLoss(loss(1, 0));
             quarantine.handleUpdate(PEER, new ContentUpdate(record, true), 0);
             assertEquals(SendRule.WAIT, sendRule(1));
             assertEquals(SendRule.ANY_SERVER, sendRule(Quarantine.PEER_TRIAL_EXPIRY_MS));
@@ -243,7 +252,7 @@
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
             assertEquals(1, quarantine.drainUpdates(0).size());
             assertEquals(0, quarantine.drainUpdates(0).size());
-            CrashRecord received = CrashRecord.of(CONTENT).with(loss(2, 0));
+            CrashRecord received = CrashRecord.of(CONTENT).withLoss(loss(2, 0));
             assertEquals(
                     Change.SUSPECTED,
                     quarantine.handleUpdate(PEER, new ContentUpdate(received, false), 0));
@@ -254,7 +263,7 @@
         @Test
         void ofAPeerDoNotReplaceOwnUpdates() {
             quarantine.recordLoss(CONTENT, loss(1, 0), 0);
-            CrashRecord received = CrashRecord.of(CONTENT).with(loss(2, 0));
+            CrashRecord received = CrashRecord.of(CONTENT).withLoss(loss(2, 0));
             quarantine.handleUpdate(PEER, new ContentUpdate(received, false), 0);
             assertEquals(1, quarantine.drainUpdates(0).size());
         }
@@ -268,9 +277,12 @@
                 CrashRecord record = CrashRecord.of(CONTENT);
                 for (int i = 0; i < 6; i++) {
                     record =
-                            random.nextInt(4) == 0 ? record.withdrawAll() : record.with(loss(i, 0));
+                            random.nextInt(4) == 0
+                                    ? record.withdrawAllLosses()
+                                    : record.withLoss(loss(i, 0));
                     updates.add(new ContentUpdate(record, false));
-                    updates.add(new ContentUpdate(CrashRecord.of(CONTENT).with(loss(i, 0)), false));
+                    updates.add(
+                            new ContentUpdate(CrashRecord.of(CONTENT).withLoss(loss(i, 0)), false));
                 }
                 Quarantine one = quarantineOf(updates, random);
                 Quarantine other = quarantineOf(updates, random);
@@ -288,7 +300,7 @@
             List<ContentUpdate> shuffled = new ArrayList<>(updates);
             shuffled.addAll(updates.subList(0, random.nextInt(updates.size())));
             Collections.shuffle(shuffled, random);
-            Quarantine quarantine = Quarantine.create(RouterId.of("r3"), HOLD_MS);
+            Quarantine quarantine = Quarantine.create(RouterId.of("r3"), MAX_QUARANTINE_MS);
             shuffled.forEach(u -> quarantine.handleUpdate(PEER, u, 0));
             return quarantine;
         }
--- a/masticweir/src/test/java/org/masticweir/relay/EventSplitterTest.java
+++ b/masticweir/src/test/java/org/masticweir/relay/EventSplitterTest.java
@@ -16,9 +16,9 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The splitter passes on complete events only. */
+/** Tests that the splitter passes on only complete events. */
 class EventSplitterTest {
-    private static final String THREE =
+    private static final String THREE_EVENTS =
             "id: 7\ndata: a\n\nx-version: 2\nid: 8\r\ndata: b\r\n\r\ndata: no id\n\n";
 
     private final List<String> events = new ArrayList<>();
@@ -39,24 +39,24 @@
         return splitter;
     }
 
-    /** The events are the same, byte for byte, however the bytes are divided in transit. */
+    /** The division of the bytes in transit does not change the events. */
     @Property
     void emitsTheSameEventsHoweverTheBytesAreDivided(@ForAll @IntRange(min = 1, max = 80) int step)
             throws IOException {
         events.clear();
         ids.clear();
-        EventSplitter splitter = split(THREE, step);
-        assertEquals(THREE, String.join("", events));
+        EventSplitter splitter = split(THREE_EVENTS, step);
+        assertEquals(THREE_EVENTS, String.join("", events));
         assertEquals(List.of(OptionalLong.of(7), OptionalLong.of(8), OptionalLong.empty()), ids);
         assertTrue(splitter.isAtEventEnd());
     }
 
     /**
-     * Guards against half a sentence appearing twice in a report: a server stopped in the middle of
-     * an event, the part was passed on, and the next server started with that event.
+     * Guards against a duplicate half sentence in a report. A server stopped in the middle of an
+     * event, the partial event was passed on, and the next server sent the whole event.
      */
     @Test
-    void holdsBackAnIncompleteEvent() throws IOException {
+    void doesNotPassOnAnIncompleteEvent() throws IOException {
         EventSplitter splitter = split("id: 1\ndata: a\n\nid: 2\ndata: ha", 5);
         assertEquals(1, events.size());
         assertFalse(splitter.isAtEventEnd());
